--- a/agent.c
+++ b/agent.c
@@ -118,7 +118,7 @@
 {
     dw_room room;
 
-    rn_tell_room(&a->runner, now, &room);
+    rn_get_capacity(&a->runner, now, &room);
     return room.serving ? room.free_millicores : 0;
 }
 
@@ -154,9 +154,9 @@
 static void
 fill_report(struct agent *a, uint64_t now, struct ag_entry *e, dw_report *r)
 {
-    r->clean =
-        a->runner.clean && rn_leftover(&a->runner, e->id, e->sess.number) == 0;
-    rn_tell_room(&a->runner, now, &r->room);
+    r->clean = a->runner.clean &&
+               rn_leftover_count(&a->runner, e->id, e->sess.number) == 0;
+    rn_get_capacity(&a->runner, now, &r->room);
     r->room.free_millicores =
         (int)share_of(a, e, now, r->room.free_millicores);
     note_shown(e, now, r->room.free_millicores);
@@ -220,11 +220,12 @@
 }
 
 static void
-do_look(void *ctx, const struct rn_ask *ask, const struct rn_terms *terms)
+do_look(
+    void *ctx, const struct rn_poll_request *ask, const struct rn_terms *terms)
 {
     struct agent *a = ctx;
 
-    a->ops->worker.look(a->ctx, ask, terms);
+    a->ops->worker.poll(a->ctx, ask, terms);
 }
 
 static const struct rn_ops worker_ops = {do_start, do_stop, do_look, do_ended};
@@ -244,7 +245,7 @@
     msg_free(e->batch);
     e->batch = NULL;
     sess_end(&e->sess);
-    rn_session_over(&a->runner, now, number);
+    rn_session_ended(&a->runner, now, number);
 }
 
 static void
@@ -299,7 +300,7 @@
             e->shown_ms = 0;
         }
         take_orders(a, now, e, o);
-        a->runner.room_changed_ms = now;
+        a->runner.capacity_changed_ms = now;
     }
     else if (e->open && e->sess.fresh_ms == 0) {
         send_beat(a, now, e); /* so that the other learns our clock */
@@ -391,7 +392,7 @@
             }
         }
         else if (must_hear(a, e, now, free_millicores) ||
-                 (a->runner.room_changed_ms >= e->sess.sent_ms &&
+                 (a->runner.capacity_changed_ms >= e->sess.sent_ms &&
                      now - e->sess.sent_ms >=
                          num_max(pause, e->want.pause_ms))) {
             send_beat(a, now, e);
@@ -418,7 +419,7 @@
 {
     const struct ag_entry *e;
 
-    if (rn_active(&a->runner) > 0 || !rn_quiet(&a->runner)) {
+    if (rn_active_count(&a->runner) > 0 || !rn_outcomes_acked(&a->runner)) {
         return false;
     }
     for (e = a->entries; e != NULL; e = e->hh.next) {
--- a/agentd.c
+++ b/agentd.c
@@ -74,7 +74,7 @@
 start_result(const struct httpc_done *d)
 {
     if (d->status == HTTPC_NOT_SENT) {
-        return RN_START_UNREACHED;
+        return RN_START_UNREACHABLE;
     }
     if (d->status != HTTPC_OK) {
         return RN_START_LOST;
@@ -108,7 +108,7 @@
             proc_now() - c->asked_ms, result == RN_START_LOST,
             (int)num_min(d->body.n, 100), d->body.n > 0 ? d->body.p : "");
     }
-    rn_started(&c->w->agent.runner, proc_now(), &c->key, result,
+    rn_start_answered(&c->w->agent.runner, proc_now(), &c->key, result,
         d->status == HTTPC_OK ? wire_clock(d->body) : 0);
     free(c);
 }
@@ -120,8 +120,8 @@
     struct buf b = {0};
 
     wire_put_start(&b, run, terms);
-    post(w, w->http, "run-start", buf_str(&b), RN_ANSWER_MS, on_started,
-        &run->key);
+    post(w, w->http, "run-start", buf_str(&b), RN_ANSWER_TIMEOUT_MS,
+        on_started, &run->key);
     buf_free(&b);
 }
 
@@ -130,7 +130,7 @@
 {
     struct run_call *c = ctx;
 
-    rn_stopped(&c->w->agent.runner, proc_now(), &c->key,
+    rn_stop_answered(&c->w->agent.runner, proc_now(), &c->key,
         d->status == HTTPC_OK && d->code == 200);
     free(c);
 }
@@ -142,7 +142,8 @@
     struct buf b = {0};
 
     wire_put_stop(&b, key, terms);
-    post(w, w->http, "run-stop", buf_str(&b), RN_ANSWER_MS, on_stopped, key);
+    post(w, w->http, "run-stop", buf_str(&b), RN_ANSWER_TIMEOUT_MS, on_stopped,
+        key);
     buf_free(&b);
 }
 
@@ -157,26 +158,28 @@
         wire_read_look(&l, d->body, &e) != WIRE_OK) {
         log_event(LOG_LEVEL_WARN, "look_unreadable", "error=\"%s\"", e.msg);
     }
-    l.look.asked_ms = c->asked_ms;
-    l.look.quick = c->quick;
-    l.look.unreached = d->status == HTTPC_NOT_SENT;
-    rn_looked(&c->w->agent.runner, proc_now(), &l.look);
+    l.look.sent_ms = c->asked_ms;
+    l.look.immediate = c->quick;
+    l.look.unreachable = d->status == HTTPC_NOT_SENT;
+    rn_poll_answered(&c->w->agent.runner, proc_now(), &l.look);
     wire_look_free(&l);
     free(c);
 }
 
 static void
-do_look(void *ctx, const struct rn_ask *ask, const struct rn_terms *terms)
+do_look(
+    void *ctx, const struct rn_poll_request *ask, const struct rn_terms *terms)
 {
     struct worker *w = ctx;
     struct buf b = {0};
     struct run_call *c;
 
     wire_put_look(&b, ask, terms);
-    c = post(w, ask->quick ? w->http : w->look_http, "hold", buf_str(&b),
-        ask->quick ? RN_ANSWER_MS : ask->wait_ms + RN_LOOK_MARGIN_MS,
+    c = post(w, ask->immediate ? w->http : w->look_http, "hold", buf_str(&b),
+        ask->immediate ? RN_ANSWER_TIMEOUT_MS
+                       : ask->wait_ms + RN_POLL_MARGIN_MS,
         on_looked, NULL);
-    c->quick = ask->quick;
+    c->quick = ask->immediate;
     buf_free(&b);
 }
 
@@ -213,7 +216,7 @@
         "job=%016" PRIx64 " task=%" PRIu64 " run=%" PRIu64
         " how=%s state=%s waited_ms=%" PRIu64 " ran_ms=%u est_ms=%u pace=%u",
         run->key.job, run->key.index, run->key.run, end_names[how],
-        state_names[run->state], run->sent_ms - run->come_ms, ran_ms,
+        state_names[run->state], run->sent_ms - run->received_ms, ran_ms,
         run->est_ms, w->agent.runner.pace_permille);
 }
 
@@ -283,20 +286,21 @@
 static void
 take_beat(struct worker *w, uint64_t now, const struct wire_beat *b)
 {
-    if (b->born_ms < w->agent.runner.born_ms ||
+    if (b->born_ms < w->agent.runner.incarnation ||
         (b->born_ms == w->beat_born_ms && b->seq <= w->beat_seq)) {
         return; /* held up on its way, perhaps of a life before */
     }
     w->beat_born_ms = b->born_ms;
     w->beat_seq = b->seq;
-    if (!w->agent.runner.have_room || b->born_ms != w->agent.runner.born_ms) {
+    if (!w->agent.runner.capacity_known ||
+        b->born_ms != w->agent.runner.incarnation) {
         log_event(LOG_LEVEL_INFO, "worker_room",
             "millicores=%u memory_mb=%u gpus=%u born=%" PRIu64, b->millicores,
             b->memory_mb, b->gpus, b->born_ms);
     }
-    rn_room(&w->agent.runner, now, b->millicores, b->memory_mb, b->gpus,
-        b->born_ms);
-    rn_draining(&w->agent.runner, now, b->draining, b->leaves, b->left_ms);
+    rn_set_capacity(&w->agent.runner, now, b->millicores, b->memory_mb,
+        b->gpus, b->born_ms);
+    rn_set_draining(&w->agent.runner, now, b->draining, b->leaves, b->left_ms);
     if (b->draining != w->draining_told) {
         w->draining_told = b->draining;
         log_event(LOG_LEVEL_INFO,
@@ -323,7 +327,7 @@
 
     if (begins(web_path(r), LEAVE_PATH)) {
         log_event(LOG_LEVEL_INFO, "worker_left", "path=%s", web_path(r));
-        rn_draining(&w->agent.runner, proc_now(), true, true, 0);
+        rn_set_draining(&w->agent.runner, proc_now(), true, true, 0);
         web_reply(r, 200, "application/json", STR("{}"), 0);
     }
     else if (!begins(web_path(r), BEAT_PATH)) {
@@ -437,11 +441,11 @@
         {"dw_runs_done", st->done},
         {"dw_runs_failed", st->failed},
         {"dw_runs_lost_starts", st->lost_starts},
-        {"dw_runs_lapsed", st->lapsed},
+        {"dw_runs_lapsed", st->lease_expired},
         {"dw_runs_orphans", st->orphans},
-        {"dw_runs_full", st->full},
-        {"dw_runs_active", rn_active(&w->agent.runner)},
-        {"dw_worker_reborn", st->reborn},
+        {"dw_runs_full", st->no_capacity},
+        {"dw_runs_active", rn_active_count(&w->agent.runner)},
+        {"dw_worker_reborn", st->worker_restarts},
         {"dw_worker_speed_permille", w->agent.runner.speed_permille},
     };
 
--- a/coord.c
+++ b/coord.c
@@ -594,7 +594,8 @@
 static void
 session_over(struct coord *c, uint64_t now, struct fl_agent *a)
 {
-    uint64_t over = sess_over_at(&a->sess) + RN_STOP_MS + RN_LAPSE_MS;
+    uint64_t over =
+        sess_over_at(&a->sess) + RN_STOP_LIMIT_MS + RN_LEASE_EXPIRY_MS;
 
     c->ops->note_agent(c->ctx, a, "agent_silent");
     lose_runs(c, a, num_max(over, now));
@@ -610,7 +611,7 @@
         return;
     }
     c->ops->note_agent(c->ctx, a, "agent_dead");
-    lose_runs(c, a, now + RN_LAPSE_MS);
+    lose_runs(c, a, now + RN_LEASE_EXPIRY_MS);
     fl_close(a);
 }
 
--- a/coord.h
+++ b/coord.h
@@ -33,8 +33,8 @@
  * just in time, until it gives them up.  Callers may send a job to another
  * entry after that. */
 #define CO_RUNS_OVER_MS                                                       \
-    (SESS_LEASE_MS + RN_STOP_MS + RN_LAPSE_MS > CO_PAUSE_MS                   \
-            ? SESS_LEASE_MS + RN_STOP_MS + RN_LAPSE_MS                        \
+    (SESS_LEASE_MS + RN_STOP_LIMIT_MS + RN_LEASE_EXPIRY_MS > CO_PAUSE_MS      \
+            ? SESS_LEASE_MS + RN_STOP_LIMIT_MS + RN_LEASE_EXPIRY_MS           \
             : CO_PAUSE_MS)
 
 enum co_outcome {
--- a/entrycall.c
+++ b/entrycall.c
@@ -385,7 +385,8 @@
  * taker that no longer hears this entry has ended its job, and the taker's
  * agents what they run of it, though they no longer hear the taker. */
 #define GIVE_RESEND_MS                                                        \
-    (SESS_LEASE_MS + SESS_LEASE_MS + RN_STOP_MS + RN_LAPSE_MS + GIVE_LATE_MS)
+    (SESS_LEASE_MS + SESS_LEASE_MS + RN_STOP_LIMIT_MS + RN_LEASE_EXPIRY_MS +  \
+        GIVE_LATE_MS)
 
 static bool
 give_away(struct entry *e, uint64_t now, struct caller *c)
--- a/fleet.c
+++ b/fleet.c
@@ -361,7 +361,7 @@
     if (how != DW_END_DONE && how != DW_END_FAILED) {
         return;
     }
-    a->fail_permille = rn_fail_share(a->fail_permille, how == DW_END_FAILED);
+    a->fail_permille = rn_fail_average(a->fail_permille, how == DW_END_FAILED);
     if (how == DW_END_DONE) {
         a->sick_ms = 0;
         a->sick_until_ms = 0;
--- a/runner.c
+++ b/runner.c
@@ -9,19 +9,19 @@
 /*
  * Two speeds are learned from the progress of runs.  The present one tells
  * within a tenth of a second that a worker has turned slow or stands still:
- * after PACE_MS of each run under way (at most PACE_RUNS of them) half of it
- * is new.  The usual one tells fast machines from slower ones; estimates are
- * off by 40 %, so it takes some hundred runs, and none from times in which the
- * worker is slow.
+ * after PACE_HALF_MS of each run under way (at most PACE_RUNS_MAX of them)
+ * half of it is new.  The usual one tells fast machines from slower ones;
+ * estimates are off by 40 %, so it takes some hundred runs, and none from
+ * times in which the worker is slow.
  */
-#define PACE_MS 100U
-#define PACE_RUNS 6U
-#define USUAL_MS 8000U
+#define PACE_HALF_MS 100U
+#define PACE_RUNS_MAX 6U
+#define USUAL_HALF_MS 8000U
 /* Added to the fence when the worker has seen a higher one, as after the
  * time of day was set back: more than clocks are set back by, in ms. */
-#define FENCE_LEAP 86400000U
-#define SPEED_MIN 50U
-#define SPEED_MAX 4000U
+#define FENCE_STEP 86400000U
+#define SPEED_MIN_PERMILLE 50U
+#define SPEED_MAX_PERMILLE 4000U
 
 void
 rn_init(struct runner *r, uint64_t now, const struct rn_ops *ops, void *ctx)
@@ -29,16 +29,16 @@
     *r = (struct runner){0};
     r->ops = ops;
     r->ctx = ctx;
-    r->begun_ms = now;
+    r->started_ms = now;
     r->speed_permille = 1000;
     r->pace_permille = 1000;
 }
 
 static void
-drop(struct runner *r, uint64_t now, struct rn_run *run)
+remove_run(struct runner *r, uint64_t now, struct rn_run *run)
 {
-    r->room_changed_ms = now;
-    r->recent[r->recent_at++ % RN_RECENT] = run->key;
+    r->capacity_changed_ms = now;
+    r->recent[r->recent_next++ % RN_RECENT_MAX] = run->key;
     if (run->state != RN_QUEUED) {
         r->used_millicores -= run->millicores;
         r->used_memory_mb -= run->memory_mb;
@@ -57,7 +57,7 @@
     struct rn_run *tmp;
 
     HASH_ITER (hh, r->runs, run, tmp) {
-        drop(r, 0, run);
+        remove_run(r, 0, run);
     }
 }
 
@@ -66,45 +66,48 @@
 note_progress(
     struct runner *r, uint64_t now, struct rn_run *run, uint32_t percent)
 {
-    if (percent < run->percent) {
+    if (percent < run->progress_percent) {
         return;
     }
-    r->work_us += (uint64_t)run->est_ms * (percent - run->percent) * 10;
-    r->work_ms += now - run->percent_ms;
-    run->percent = percent;
-    run->percent_ms = now;
+    r->work_est_us +=
+        (uint64_t)run->est_ms * (percent - run->progress_percent) * 10;
+    r->work_elapsed_ms += now - run->progress_ms;
+    run->progress_percent = percent;
+    run->progress_ms = now;
 }
 
 /* Half of the value is new after so many ms. */
 static uint32_t
-follow(uint32_t value, uint64_t seen, uint64_t ms, uint64_t half_ms)
+moving_average(uint32_t value, uint64_t seen, uint64_t ms, uint64_t half_ms)
 {
     return (uint32_t)((value * half_ms + seen * ms) / (half_ms + ms));
 }
 
 /* Speed is work done, as estimated, over the time it took. */
 static void
-learn_speed(struct runner *r)
+update_speed(struct runner *r)
 {
-    uint64_t runs = num_min(num_max(rn_active(r), 1), PACE_RUNS);
+    uint64_t runs = num_min(num_max(rn_active_count(r), 1), PACE_RUNS_MAX);
     uint64_t seen;
 
-    if (r->work_ms == 0) {
+    if (r->work_elapsed_ms == 0) {
         return;
     }
-    seen = num_max(num_min(r->work_us / r->work_ms, SPEED_MAX), SPEED_MIN);
-    r->pace_permille =
-        follow(r->pace_permille, seen, r->work_ms, runs * PACE_MS);
+    seen = num_max(
+        num_min(r->work_est_us / r->work_elapsed_ms, SPEED_MAX_PERMILLE),
+        SPEED_MIN_PERMILLE);
+    r->pace_permille = moving_average(
+        r->pace_permille, seen, r->work_elapsed_ms, runs * PACE_HALF_MS);
     if (2 * r->pace_permille > r->speed_permille) {
-        r->speed_permille =
-            follow(r->speed_permille, seen, r->work_ms, USUAL_MS);
+        r->speed_permille = moving_average(
+            r->speed_permille, seen, r->work_elapsed_ms, USUAL_HALF_MS);
     }
-    r->work_us = 0;
-    r->work_ms = 0;
+    r->work_est_us = 0;
+    r->work_elapsed_ms = 0;
 }
 
 static void
-finish(struct runner *r, uint64_t now, struct rn_run *run, dw_end how)
+finish_run(struct runner *r, uint64_t now, struct rn_run *run, dw_end how)
 {
     uint32_t ran_ms =
         run->started_ms != 0 ? (uint32_t)num_minus(now, run->started_ms) : 0;
@@ -118,14 +121,14 @@
     }
     if (how == DW_END_DONE || how == DW_END_FAILED) {
         r->fail_permille =
-            rn_fail_share(r->fail_permille, how == DW_END_FAILED);
+            rn_fail_average(r->fail_permille, how == DW_END_FAILED);
     }
     r->ops->ended(r->ctx, run, how, ran_ms);
-    drop(r, now, run);
+    remove_run(r, now, run);
 }
 
 static struct rn_run *
-find(struct runner *r, const struct rn_key *key)
+find_run(struct runner *r, const struct rn_key *key)
 {
     struct rn_run *run;
 
@@ -139,36 +142,37 @@
 static uint64_t
 worker_clock(const struct runner *r, uint64_t now)
 {
-    return r->clock_ms + (now - r->clock_at_ms);
+    return r->worker_clock_ms + (now - r->worker_clock_at_ms);
 }
 
 static void
 note_clock(struct runner *r, uint64_t now, uint64_t clock_ms)
 {
     if (clock_ms != 0) {
-        r->clock_ms = clock_ms;
-        r->clock_at_ms = now;
+        r->worker_clock_ms = clock_ms;
+        r->worker_clock_at_ms = now;
     }
 }
 
 /* The time to renew until, in the worker's clock; from now on it may hold
  * our runs for that long. */
 static uint64_t
-renewal(struct runner *r, uint64_t now)
+extend_lease(struct runner *r, uint64_t now)
 {
-    uint64_t since = now - r->clock_at_ms;
+    uint64_t since = now - r->worker_clock_at_ms;
     uint64_t slow = since * RN_DRIFT_PERCENT / 100;
 
-    r->lapse_ms = num_max(r->lapse_ms, now + RN_LAPSE_MS + slow);
+    r->lease_expiry_ms =
+        num_max(r->lease_expiry_ms, now + RN_LEASE_EXPIRY_MS + slow);
     return worker_clock(r, now) + RN_LEASE_MS;
 }
 
 /*
  * The lease holds for all runs together.  An entry counts the runs of an
- * ended session as over after RN_STOP_MS and one lease; if a stop gets lost,
- * renewing for the others would keep such a run alive beside its successor.
- * A worker that did not answer the last look may have started anew: a time
- * on its earlier clock could lie far ahead on the new one.
+ * ended session as over after RN_STOP_LIMIT_MS and one lease; if a stop gets
+ * lost, renewing for the others would keep such a run alive beside its
+ * successor. A worker that did not answer the last look may have started anew:
+ * a time on its earlier clock could lie far ahead on the new one.
  */
 static bool
 may_renew(const struct runner *r, uint64_t now)
@@ -176,20 +180,21 @@
     const struct rn_run *run;
 
     for (run = r->runs; run != NULL; run = run->hh.next) {
-        if (run->forced && now - run->forced_ms > RN_STOP_MS) {
+        if (run->session_ended &&
+            now - run->session_ended_ms > RN_STOP_LIMIT_MS) {
             return false;
         }
     }
-    return r->clock_ms != 0 && r->looks_failed == 0;
+    return r->worker_clock_ms != 0 && r->polls_failed == 0;
 }
 
 static void
-send_look(struct runner *r, uint64_t until_ms, uint32_t wait_ms, bool quick)
+send_poll(struct runner *r, uint64_t until_ms, uint32_t wait_ms, bool quick)
 {
     struct rn_terms terms = {until_ms, r->fence};
-    struct rn_ask ask = {r->ack, wait_ms, quick};
+    struct rn_poll_request ask = {r->ack, wait_ms, quick};
 
-    r->ops->look(r->ctx, &ask, &terms);
+    r->ops->poll(r->ctx, &ask, &terms);
 }
 
 static void
@@ -201,25 +206,25 @@
 }
 
 static void
-look(struct runner *r, uint64_t now, uint32_t wait_ms)
+start_poll(struct runner *r, uint64_t now, uint32_t wait_ms)
 {
     uint64_t until =
-        may_renew(r, now) && rn_active(r) > 0 ? renewal(r, now) : 0;
+        may_renew(r, now) && rn_active_count(r) > 0 ? extend_lease(r, now) : 0;
 
-    r->look_ms = now;
-    r->asked_ms = now;
-    r->ack_asked = r->ack;
-    send_look(r, until, wait_ms, false);
+    r->poll_ms = now;
+    r->last_poll_ms = now;
+    r->ack_sent = r->ack;
+    send_poll(r, until, wait_ms, false);
 }
 
 /* What became of a start that was not answered is asked at once, beside the
  * look that waits for an end. */
 static void
-look_quick(struct runner *r)
+poll_immediately(struct runner *r)
 {
-    if (!r->quick_out) {
-        r->quick_out = true;
-        send_look(r, 0, 0, true);
+    if (!r->immediate_pending) {
+        r->immediate_pending = true;
+        send_poll(r, 0, 0, true);
     }
 }
 
@@ -231,7 +236,7 @@
 set_silent(struct runner *r, uint64_t now)
 {
     r->silent = true;
-    r->room_changed_ms = now;
+    r->capacity_changed_ms = now;
 }
 
 /* --- starting --- */
@@ -246,7 +251,7 @@
 
 /* Another run of the same task is here and not certainly over. */
 static bool
-twin_active(const struct runner *r, const struct rn_run *run)
+task_active(const struct runner *r, const struct rn_run *run)
 {
     const struct rn_run *o;
 
@@ -260,29 +265,30 @@
 }
 
 static void
-start(struct runner *r, uint64_t now, struct rn_run *run)
+start_run(struct runner *r, uint64_t now, struct rn_run *run)
 {
     struct rn_terms terms = {0, r->fence};
 
     run->state = RN_STARTING;
     run->sent_ms = now;
-    run->percent_ms = now;
+    run->progress_ms = now;
     r->used_millicores += run->millicores;
     r->used_memory_mb += run->memory_mb;
     r->used_gpus += run->gpus;
     r->stats.started++;
-    terms.until_ms = renewal(r, now);
+    terms.lease_until_ms = extend_lease(r, now);
     r->ops->start(r->ctx, run, &terms);
 }
 
 static bool
-ends_in_time(const struct runner *r, uint64_t now, const struct rn_run *run)
+ends_before_exit(
+    const struct runner *r, uint64_t now, const struct rn_run *run)
 {
-    return r->leaves_ms == 0 || now + run->est_ms < r->leaves_ms;
+    return r->worker_exit_ms == 0 || now + run->est_ms < r->worker_exit_ms;
 }
 
 static void
-pump(struct runner *r, uint64_t now)
+start_queued(struct runner *r, uint64_t now)
 {
     bool may_start = rn_serving(r) && may_renew(r, now);
     struct rn_run *run;
@@ -292,29 +298,29 @@
         if (run->state != RN_QUEUED) {
             continue;
         }
-        if (now >= run->give_up_ms || !rn_serving(r) ||
-            !ends_in_time(r, now, run)) {
-            r->stats.full++;
-            finish(r, now, run, DW_END_FULL);
+        if (now >= run->wait_until_ms || !rn_serving(r) ||
+            !ends_before_exit(r, now, run)) {
+            r->stats.no_capacity++;
+            finish_run(r, now, run, DW_END_FULL);
         }
-        else if (may_start && fits(r, run) && !twin_active(r, run)) {
-            start(r, now, run);
+        else if (may_start && fits(r, run) && !task_active(r, run)) {
+            start_run(r, now, run);
         }
     }
     /* What was started is looked after at once, not when idle. */
-    if (r->look_ms == 0 && r->looks_failed == 0 && rn_active(r) > 0) {
-        look(r, now, RN_LOOK_MS);
+    if (r->poll_ms == 0 && r->polls_failed == 0 && rn_active_count(r) > 0) {
+        start_poll(r, now, RN_POLL_MS);
     }
 }
 
 /* How long after the last look the next is due. */
 static uint32_t
-look_pause(const struct runner *r)
+poll_pause(const struct runner *r)
 {
-    return rn_active(r) > 0 || !r->clean || !r->looked || r->silent ||
-                   !rn_quiet(r)
-               ? RN_RETRY_MS
-               : RN_IDLE_MS;
+    return rn_active_count(r) > 0 || !r->clean || !r->polled || r->silent ||
+                   !rn_outcomes_acked(r)
+               ? RN_RETRY_POLL_MS
+               : RN_IDLE_POLL_MS;
 }
 
 /*
@@ -329,7 +335,7 @@
     struct rn_key key = {group->job, order->run, order->index};
     struct rn_run *run;
 
-    if (find(r, &key) != NULL) {
+    if (find_run(r, &key) != NULL) {
         return;
     }
     run = dw_zero(1, sizeof(*run));
@@ -342,16 +348,16 @@
     run->est_ms = order->est_ms;
     run->priority = group->priority;
     run->spec = str_dup(str_bytes(&group->spec));
-    run->come_ms = now;
+    run->received_ms = now;
     run->sent_ms = now;
-    run->give_up_ms = now + order->wait_ms;
+    run->wait_until_ms = now + order->wait_ms;
     HASH_ADD(hh, r->runs, key, sizeof(run->key), run);
-    r->room_changed_ms = now;
-    pump(r, now);
-    run = find(r, &key);
-    if (run != NULL && run->state == RN_QUEUED && !twin_active(r, run)) {
-        r->stats.full++;
-        finish(r, now, run, DW_END_FULL);
+    r->capacity_changed_ms = now;
+    start_queued(r, now);
+    run = find_run(r, &key);
+    if (run != NULL && run->state == RN_QUEUED && !task_active(r, run)) {
+        r->stats.no_capacity++;
+        finish_run(r, now, run, DW_END_FULL);
     }
 }
 
@@ -362,7 +368,7 @@
 {
     if (run->state != RN_STOPPING) {
         run->state = RN_STOPPING;
-        run->settle_ms = UINT64_MAX;
+        run->conclusive_ms = UINT64_MAX;
     }
     run->sent_ms = now;
     send_stop(r, &run->key);
@@ -372,20 +378,20 @@
 rn_stop(struct runner *r, uint64_t now, const dw_run_ref *ref)
 {
     struct rn_key key = {ref->job, ref->run, ref->index};
-    struct rn_run *run = find(r, &key);
+    struct rn_run *run = find_run(r, &key);
 
     if (run == NULL || run->state == RN_STOPPING) {
         return;
     }
     if (run->state == RN_QUEUED) {
-        finish(r, now, run, DW_END_STOPPED);
+        finish_run(r, now, run, DW_END_STOPPED);
         return;
     }
     stop_run(r, now, run);
 }
 
 void
-rn_session_over(struct runner *r, uint64_t now, uint64_t session)
+rn_session_ended(struct runner *r, uint64_t now, uint64_t session)
 {
     struct rn_run *run;
     struct rn_run *tmp;
@@ -395,16 +401,16 @@
             continue;
         }
         if (run->state == RN_QUEUED) {
-            drop(r, now, run);
+            remove_run(r, now, run);
             continue;
         }
-        if (!run->forced) {
-            run->forced = true;
-            run->forced_ms = now;
+        if (!run->session_ended) {
+            run->session_ended = true;
+            run->session_ended_ms = now;
             stop_run(r, now, run);
         }
     }
-    pump(r, now);
+    start_queued(r, now);
 }
 
 /* --- what the worker said --- */
@@ -416,9 +422,9 @@
  * refuse it.
  */
 static void
-set_born(struct runner *r, uint64_t born_ms)
+set_incarnation(struct runner *r, uint64_t born_ms)
 {
-    r->born_ms = born_ms;
+    r->incarnation = born_ms;
     r->fence = num_max(r->fence + 1, born_ms);
 }
 
@@ -428,109 +434,109 @@
  * or the next, tells for each whether it is there.
  */
 static void
-reborn(struct runner *r, uint64_t now, uint64_t born_ms)
+worker_restarted(struct runner *r, uint64_t now, uint64_t born_ms)
 {
     r->fail_permille = 0;
-    r->stats.reborn++;
-    r->clock_ms = 0;
-    r->looked = false;
-    set_born(r, born_ms);
-    r->born_at_ms = now;
-    r->have_room = false;
+    r->stats.worker_restarts++;
+    r->worker_clock_ms = 0;
+    r->polled = false;
+    set_incarnation(r, born_ms);
+    r->incarnation_seen_ms = now;
+    r->capacity_known = false;
     r->draining = false;
-    r->leaves_ms = 0;
+    r->worker_exit_ms = 0;
     r->ack = 0;
-    r->ack_told = 0;
-    r->ack_asked = 0;
-    r->room_changed_ms = now;
+    r->ack_confirmed = 0;
+    r->ack_sent = 0;
+    r->capacity_changed_ms = now;
 }
 
 void
-rn_room(struct runner *r, uint64_t now, uint32_t millicores,
+rn_set_capacity(struct runner *r, uint64_t now, uint32_t millicores,
     uint32_t memory_mb, uint32_t gpus, uint64_t born_ms)
 {
-    if (r->born_ms == 0) {
-        set_born(r, born_ms);
+    if (r->incarnation == 0) {
+        set_incarnation(r, born_ms);
     }
-    if (born_ms > r->born_ms) {
-        reborn(r, now, born_ms);
+    if (born_ms > r->incarnation) {
+        worker_restarted(r, now, born_ms);
     }
-    if (!r->have_room) {
+    if (!r->capacity_known) {
         r->millicores = 0;
         r->memory_mb = 0;
         r->gpus = 0;
     }
-    if (born_ms == r->born_ms) {
+    if (born_ms == r->incarnation) {
         /* What is free is never more than the whole. */
         r->millicores = (uint32_t)num_max(r->millicores, millicores);
         r->memory_mb = (uint32_t)num_max(r->memory_mb, memory_mb);
         r->gpus = (uint32_t)num_max(r->gpus, gpus);
-        r->have_room = true;
+        r->capacity_known = true;
     }
-    pump(r, now);
+    start_queued(r, now);
 }
 
 void
-rn_draining(struct runner *r, uint64_t now, bool draining, bool leaves,
+rn_set_draining(struct runner *r, uint64_t now, bool draining, bool leaves,
     uint64_t left_ms)
 {
     if (r->draining != draining) {
-        r->room_changed_ms = now;
+        r->capacity_changed_ms = now;
     }
     r->draining = draining;
-    r->leaves_ms = draining && leaves ? now + left_ms : 0;
-    pump(r, now);
+    r->worker_exit_ms = draining && leaves ? now + left_ms : 0;
+    start_queued(r, now);
 }
 
 void
 rn_leave(struct runner *r, uint64_t now)
 {
     r->leaving = true;
-    pump(r, now);
+    start_queued(r, now);
 }
 
 void
-rn_started(struct runner *r, uint64_t now, const struct rn_key *key,
+rn_start_answered(struct runner *r, uint64_t now, const struct rn_key *key,
     enum rn_start_result result, uint64_t clock_ms)
 {
-    struct rn_run *run = find(r, key);
+    struct rn_run *run = find_run(r, key);
 
     note_clock(r, now, clock_ms);
     if (run == NULL || run->state == RN_RUNNING || run->state == RN_STOPPING) {
         return;
     }
     if (result == RN_START_FENCED) {
-        r->fence += FENCE_LEAP;
-        finish(r, now, run, DW_END_NOT_RUN);
-        pump(r, now);
+        r->fence += FENCE_STEP;
+        finish_run(r, now, run, DW_END_NOT_RUN);
+        start_queued(r, now);
     }
     else if (result == RN_START_OK) {
         run->state = RN_RUNNING;
         run->started_ms = run->sent_ms;
-        run->settle_ms = now;
+        run->conclusive_ms = now;
     }
-    else if (result == RN_START_REFUSED || result == RN_START_UNREACHED) {
-        if (result == RN_START_UNREACHED) {
+    else if (result == RN_START_REFUSED || result == RN_START_UNREACHABLE) {
+        if (result == RN_START_UNREACHABLE) {
             set_silent(r, now);
         }
-        finish(r, now, run, DW_END_NOT_RUN);
-        pump(r, now);
+        finish_run(r, now, run, DW_END_NOT_RUN);
+        start_queued(r, now);
     }
     else {
         r->stats.lost_starts++;
         run->state = RN_UNSURE;
-        run->settle_ms = now;
-        look_quick(r);
+        run->conclusive_ms = now;
+        poll_immediately(r);
     }
 }
 
 void
-rn_stopped(
+rn_stop_answered(
     struct runner *r, uint64_t now, const struct rn_key *key, bool answered)
 {
-    struct rn_run *run = find(r, key);
+    struct rn_run *run = find_run(r, key);
 
-    if (run == NULL || run->settle_ms != UINT64_MAX) {
+    if (run == NULL || run->conclusive_ms != UINT64_MAX) {
         return;
     }
     if (!answered) {
@@ -538,33 +544,33 @@
     }
     /* Later arrivals of the start are refused from now on; whether it runs
      * or has ended, the next look tells. */
-    run->settle_ms = now;
-    if (!run->seen) {
-        look_quick(r);
+    run->conclusive_ms = now;
+    if (!run->reported) {
+        poll_immediately(r);
     }
 }
 
 static void
-take_ends(struct runner *r, uint64_t now, const struct rn_look *l)
+process_outcomes(struct runner *r, uint64_t now, const struct rn_poll *l)
 {
-    for (size_t i = 0; i < l->end_count; i++) {
-        const struct rn_end *e = &l->ends[i];
-        struct rn_run *run = find(r, &e->key);
+    for (size_t i = 0; i < l->outcome_count; i++) {
+        const struct rn_outcome *e = &l->outcomes[i];
+        struct rn_run *run = find_run(r, &e->key);
 
-        if (e->number <= r->ack) {
+        if (e->seq <= r->ack) {
             continue;
         }
-        r->ack = e->number;
+        r->ack = e->seq;
         if (run != NULL && run->state != RN_QUEUED) {
-            finish(r, now, run, e->how);
+            finish_run(r, now, run, e->outcome);
         }
     }
 }
 
 static bool
-ended_lately(const struct runner *r, const struct rn_key *key)
+ended_recently(const struct runner *r, const struct rn_key *key)
 {
-    for (size_t i = 0; i < RN_RECENT; i++) {
+    for (size_t i = 0; i < RN_RECENT_MAX; i++) {
         if (memcmp(&r->recent[i], key, sizeof(*key)) == 0) {
             return true;
         }
@@ -573,14 +579,14 @@
 }
 
 static void
-take_running(struct runner *r, uint64_t now, const struct rn_look *l)
+process_running(struct runner *r, uint64_t now, const struct rn_poll *l)
 {
     r->orphans = 0;
     for (size_t i = 0; i < l->running_count; i++) {
-        const struct rn_shown *s = &l->running[i];
-        struct rn_run *run = find(r, &s->key);
+        const struct rn_poll_run *s = &l->running[i];
+        struct rn_run *run = find_run(r, &s->key);
 
-        if (run == NULL && ended_lately(r, &s->key)) {
+        if (run == NULL && ended_recently(r, &s->key)) {
             continue;
         }
         if (run == NULL) {
@@ -591,18 +597,18 @@
             send_stop(r, &s->key);
             continue;
         }
-        run->seen = true;
+        run->reported = true;
         note_progress(r, now, run, s->percent);
         if (run->state == RN_UNSURE || run->state == RN_STARTING) {
             run->state = RN_RUNNING;
             run->started_ms = run->sent_ms;
-            run->settle_ms = now;
+            run->conclusive_ms = now;
         }
     }
 }
 
 static bool
-shown(const struct rn_look *l, const struct rn_key *key)
+is_reported(const struct rn_poll *l, const struct rn_key *key)
 {
     for (size_t i = 0; i < l->running_count; i++) {
         if (memcmp(&l->running[i].key, key, sizeof(*key)) == 0) {
@@ -614,14 +620,14 @@
 
 /* Runs that a look neither showed running nor ended. */
 static void
-settle_absent(struct runner *r, uint64_t now, const struct rn_look *l)
+resolve_absent(struct runner *r, uint64_t now, const struct rn_poll *l)
 {
     struct rn_run *run;
     struct rn_run *tmp;
 
     HASH_ITER (hh, r->runs, run, tmp) {
         if (run->state == RN_QUEUED || run->state == RN_STARTING ||
-            l->asked_ms <= run->settle_ms || shown(l, &run->key)) {
+            l->sent_ms <= run->conclusive_ms || is_reported(l, &run->key)) {
             continue;
         }
         if (run->state == RN_UNSURE) {
@@ -629,9 +635,9 @@
             stop_run(r, now, run);
         }
         else {
-            finish(r, now, run,
-                run->state == RN_STOPPING && !run->seen ? DW_END_NOT_RUN
-                                                        : DW_END_LOST);
+            finish_run(r, now, run,
+                run->state == RN_STOPPING && !run->reported ? DW_END_NOT_RUN
+                                                            : DW_END_LOST);
         }
     }
 }
@@ -640,91 +646,91 @@
  * The first look that carried this life's fence: later arrivals of orders to
  * the life before are refused.  One that came earlier may have renewed the
  * lease with a time on the earlier clock, cut to the longest lease only.
- * Entries count on RN_LAPSE_MS, should this agent die: nothing starts before
- * that lease has run out.
+ * Entries count on RN_LEASE_EXPIRY_MS, should this agent die: nothing starts
+ * before that lease has run out.
  */
 static void
-first_look(struct runner *r, uint64_t now)
+first_poll(struct runner *r, uint64_t now)
 {
-    r->looked = true;
-    if (r->stats.reborn > 0) {
-        r->wild_ms = now + RN_LONGEST_MS;
+    r->polled = true;
+    if (r->stats.worker_restarts > 0) {
+        r->unknown_lease_until_ms = now + RN_LEASE_MAX_MS;
     }
 }
 
 static void
-take_look(struct runner *r, uint64_t now, const struct rn_look *l)
+process_poll(struct runner *r, uint64_t now, const struct rn_poll *l)
 {
-    if (r->born_ms != 0 && l->born_ms != r->born_ms) {
-        reborn(r, now, l->born_ms);
+    if (r->incarnation != 0 && l->incarnation != r->incarnation) {
+        worker_restarted(r, now, l->incarnation);
     }
-    note_clock(r, now, l->clock_ms);
-    if (r->born_ms == 0) {
-        set_born(r, l->born_ms);
+    note_clock(r, now, l->worker_clock_ms);
+    if (r->incarnation == 0) {
+        set_incarnation(r, l->incarnation);
     }
     r->silent = false;
-    if (!r->looked && l->asked_ms > r->born_at_ms) {
-        first_look(r, now);
-    }
-    take_ends(r, now, l);
-    take_running(r, now, l);
-    settle_absent(r, now, l);
-    learn_speed(r);
-    if (r->orphans == 0 && now - r->begun_ms > RN_LAPSE_MS) {
+    if (!r->polled && l->sent_ms > r->incarnation_seen_ms) {
+        first_poll(r, now);
+    }
+    process_outcomes(r, now, l);
+    process_running(r, now, l);
+    resolve_absent(r, now, l);
+    update_speed(r);
+    if (r->orphans == 0 && now - r->started_ms > RN_LEASE_EXPIRY_MS) {
         r->clean = true;
     }
 }
 
 static void
-look_failed(struct runner *r, uint64_t now, const struct rn_look *l)
+poll_failed(struct runner *r, uint64_t now, const struct rn_poll *l)
 {
-    if (l->unreached || r->looks_failed >= RN_SILENT_LOOKS) {
+    if (l->unreachable || r->polls_failed >= RN_SILENT_POLLS) {
         set_silent(r, now);
     }
     else {
-        look(r, now, 0);
+        start_poll(r, now, 0);
     }
 }
 
 void
-rn_looked(struct runner *r, uint64_t now, const struct rn_look *l)
+rn_poll_answered(struct runner *r, uint64_t now, const struct rn_poll *l)
 {
     /* Of a life before the one that is known since. */
-    bool old = r->born_ms != 0 && l->born_ms != r->born_ms &&
-               l->asked_ms <= r->born_at_ms;
+    bool old = r->incarnation != 0 && l->incarnation != r->incarnation &&
+               l->sent_ms <= r->incarnation_seen_ms;
 
-    if (l->quick) {
-        r->quick_out = false;
+    if (l->immediate) {
+        r->immediate_pending = false;
     }
     else {
-        r->look_ms = 0;
-        r->looks_failed += !l->ok;
-        r->ack_told = l->ok && !old ? r->ack_asked : r->ack_told;
+        r->poll_ms = 0;
+        r->polls_failed += !l->ok;
+        r->ack_confirmed = l->ok && !old ? r->ack_sent : r->ack_confirmed;
     }
     if (l->ok && !old) {
-        take_look(r, now, l);
-        r->looks_failed = 0;
+        process_poll(r, now, l);
+        r->polls_failed = 0;
     }
-    else if (!l->ok && !l->quick) {
-        look_failed(r, now, l);
+    else if (!l->ok && !l->immediate) {
+        poll_failed(r, now, l);
     }
-    pump(r, now);
+    start_queued(r, now);
 }
 
 /* The worker could not be reached for a whole lease: all has ended there. */
 static void
-lapse(struct runner *r, uint64_t now)
+expire_lease(struct runner *r, uint64_t now)
 {
     struct rn_run *run;
     struct rn_run *tmp;
 
-    if (now <= r->lapse_ms) {
+    if (now <= r->lease_expiry_ms) {
         return;
     }
     HASH_ITER (hh, r->runs, run, tmp) {
         if (run->state != RN_QUEUED) {
-            r->stats.lapsed++;
-            finish(r, now, run, DW_END_LOST);
+            r->stats.lease_expired++;
+            finish_run(r, now, run, DW_END_LOST);
         }
     }
 }
@@ -735,24 +741,24 @@
     struct rn_run *run;
     struct rn_run *tmp;
 
-    if (r->wild_ms != 0 && now > r->wild_ms) {
-        r->wild_ms = 0;
-        r->room_changed_ms = now;
+    if (r->unknown_lease_until_ms != 0 && now > r->unknown_lease_until_ms) {
+        r->unknown_lease_until_ms = 0;
+        r->capacity_changed_ms = now;
     }
-    lapse(r, now);
+    expire_lease(r, now);
     HASH_ITER (hh, r->runs, run, tmp) {
-        if (run->state == RN_STOPPING && run->settle_ms == UINT64_MAX &&
-            now - run->sent_ms > RN_ANSWER_MS + 5) {
+        if (run->state == RN_STOPPING && run->conclusive_ms == UINT64_MAX &&
+            now - run->sent_ms > RN_ANSWER_TIMEOUT_MS + 5) {
             stop_run(r, now, run);
         }
         else if (run->state == RN_UNSURE) {
-            look_quick(r);
+            poll_immediately(r);
         }
     }
-    if (r->look_ms == 0 && now - r->asked_ms >= look_pause(r)) {
-        look(r, now, rn_active(r) > 0 ? RN_LOOK_MS : 0);
+    if (r->poll_ms == 0 && now - r->last_poll_ms >= poll_pause(r)) {
+        start_poll(r, now, rn_active_count(r) > 0 ? RN_POLL_MS : 0);
     }
-    pump(r, now);
+    start_queued(r, now);
 }
 
 /* --- queries --- */
@@ -760,18 +766,18 @@
 bool
 rn_serving(const struct runner *r)
 {
-    return r->have_room && r->looked && r->wild_ms == 0 && !r->silent &&
-           r->orphans == 0 && !r->draining && !r->leaving;
+    return r->capacity_known && r->polled && r->unknown_lease_until_ms == 0 &&
+           !r->silent && r->orphans == 0 && !r->draining && !r->leaving;
 }
 
 bool
-rn_quiet(const struct runner *r)
+rn_outcomes_acked(const struct runner *r)
 {
-    return r->ack_told == r->ack;
+    return r->ack_confirmed == r->ack;
 }
 
 size_t
-rn_active(const struct runner *r)
+rn_active_count(const struct runner *r)
 {
     const struct rn_run *run;
     size_t n = 0;
@@ -783,7 +789,7 @@
 }
 
 size_t
-rn_leftover(const struct runner *r, uint64_t entry, uint64_t session)
+rn_leftover_count(const struct runner *r, uint64_t entry, uint64_t session)
 {
     const struct rn_run *run;
     size_t n = 0;
@@ -795,7 +801,7 @@
 }
 
 void
-rn_tell_room(const struct runner *r, uint64_t now, dw_room *room)
+rn_get_capacity(const struct runner *r, uint64_t now, dw_room *room)
 {
     const struct rn_run *run;
 
@@ -803,7 +809,7 @@
     room->serving = rn_serving(r);
     room->draining = r->draining;
     room->left_ms =
-        r->leaves_ms != 0 ? num_left(r->leaves_ms, now) : UINT32_MAX;
+        r->worker_exit_ms != 0 ? num_left(r->worker_exit_ms, now) : UINT32_MAX;
     room->millicores = r->millicores;
     room->memory_mb = r->memory_mb;
     room->gpus = r->gpus;
--- a/sim-int.h
+++ b/sim-int.h
@@ -50,7 +50,7 @@
     uint64_t agent_id;
     struct rn_key key;
     struct rn_terms terms;
-    struct rn_ask ask;
+    struct rn_poll_request ask;
     uint32_t millicores;
     enum rn_start_result result;
     uint64_t clock_ms;
@@ -58,9 +58,9 @@
     bool lost;
     bool answered;
     uint32_t holders;
-    struct rn_shown *running;
+    struct rn_poll_run *running;
     size_t running_count;
-    struct rn_end *ends;
+    struct rn_outcome *ends;
     size_t end_count;
     uint64_t born_ms;
 };
@@ -74,7 +74,7 @@
     uint64_t next_end;
     struct sim_run *runs;
     size_t run_count;
-    struct rn_end *ends;
+    struct rn_outcome *ends;
     size_t end_count;
     struct sim_past *past;
     struct sim_call *look; /* waits for an end */
--- a/sim.c
+++ b/sim.c
@@ -263,8 +263,8 @@
     const struct sim_worker *w = &s->workers[a->index];
 
     if (w->up) {
-        rn_room(&a->a.runner, sim_ms(s), s->d->millicores[a->index], MEMORY_MB,
-            0, w->born_ms);
+        rn_set_capacity(&a->a.runner, sim_ms(s), s->d->millicores[a->index],
+            MEMORY_MB, 0, w->born_ms);
         ag_flush(&a->a, sim_ms(s));
     }
 }
--- a/simwork.c
+++ b/simwork.c
@@ -101,11 +101,11 @@
 static void
 end_run(struct sim *s, struct sim_worker *w, struct sim_run *run, dw_end how)
 {
-    struct rn_end *e;
+    struct rn_outcome *e;
 
     w->ends = dw_grow(w->ends, (w->end_count + 1) * sizeof(*w->ends));
     e = &w->ends[w->end_count++];
-    *e = (struct rn_end){w->next_end++, run->key, how};
+    *e = (struct rn_outcome){w->next_end++, run->key, how};
     note_past(w, &run->key);
     count_running(s, &run->key, -1);
     *run = w->runs[--w->run_count];
@@ -229,19 +229,19 @@
     struct sim_past *p;
 
     if (!w->up) {
-        return RN_START_UNREACHED;
+        return RN_START_UNREACHABLE;
     }
     if (fenced(w, c->terms.fence)) {
         return RN_START_FENCED;
     }
     there = find_task(w, &c->key);
     p = past_of(w, &c->key, false);
-    if (c->terms.until_ms < sim_worker_clock(s, w) ||
+    if (c->terms.lease_until_ms < sim_worker_clock(s, w) ||
         (there != NULL && there->key.run != c->key.run) ||
         (p != NULL && c->key.run <= p->run)) {
         return RN_START_REFUSED;
     }
-    renew(s, w, c->terms.until_ms);
+    renew(s, w, c->terms.lease_until_ms);
     if (there == NULL) {
         add_run(s, w, c);
     }
@@ -300,7 +300,7 @@
     struct sim_call *c = data;
 
     if (sim_same(c)) {
-        rn_started(
+        rn_start_answered(
             &c->agent->a.runner, sim_ms(s), &c->key, c->result, c->clock_ms);
         ag_flush(&c->agent->a, sim_ms(s));
     }
@@ -347,7 +347,7 @@
     c = new_call(a);
     c->key = run->key;
     c->result = RN_START_LOST;
-    sim_at(s, RN_ANSWER_MS * 1000, start_done, c);
+    sim_at(s, RN_ANSWER_TIMEOUT_MS * 1000, start_done, c);
 }
 
 static void
@@ -356,7 +356,7 @@
     struct sim_call *c = data;
 
     if (sim_same(c)) {
-        rn_stopped(
+        rn_stop_answered(
             &c->agent->a.runner, sim_ms(s), &c->key, c->result == RN_START_OK);
         ag_flush(&c->agent->a, sim_ms(s));
     }
@@ -395,7 +395,7 @@
     c = new_call(a);
     c->key = *key;
     c->result = RN_START_LOST;
-    sim_at(s, RN_ANSWER_MS * 1000, stop_done, c);
+    sim_at(s, RN_ANSWER_TIMEOUT_MS * 1000, stop_done, c);
 }
 
 /* The answer has come, or the time for it is over. */
@@ -403,21 +403,21 @@
 look_done(struct sim *s, void *data)
 {
     struct sim_call *c = data;
-    struct rn_look l = {0};
+    struct rn_poll l = {0};
 
     if (!c->answered && sim_same(c)) {
         c->answered = true;
-        l.asked_ms = c->asked_ms;
-        l.quick = c->ask.quick;
+        l.sent_ms = c->asked_ms;
+        l.immediate = c->ask.immediate;
         l.ok = c->running != NULL;
-        l.unreached = !worker_of(c)->up;
-        l.clock_ms = c->clock_ms;
-        l.born_ms = c->born_ms;
+        l.unreachable = !worker_of(c)->up;
+        l.worker_clock_ms = c->clock_ms;
+        l.incarnation = c->born_ms;
         l.running = c->running;
         l.running_count = c->running_count;
-        l.ends = c->ends;
-        l.end_count = c->end_count;
-        rn_looked(&c->agent->a.runner, sim_ms(s), &l);
+        l.outcomes = c->ends;
+        l.outcome_count = c->end_count;
+        rn_poll_answered(&c->agent->a.runner, sim_ms(s), &l);
         ag_flush(&c->agent->a, sim_ms(s));
     }
     drop_call(c);
@@ -437,7 +437,7 @@
         note_work(s, w, run);
         left = run->left_us / run->total_us;
         c->running[i] =
-            (struct rn_shown){run->key, (uint32_t)(100.0 * (1.0 - left))};
+            (struct rn_poll_run){run->key, (uint32_t)(100.0 * (1.0 - left))};
     }
     c->ends = dw_zero(w->end_count + 1, sizeof(*c->ends));
     c->end_count = w->end_count;
@@ -473,9 +473,9 @@
         drop_call(c);
         return;
     }
-    renew(s, w, c->terms.until_ms);
+    renew(s, w, c->terms.lease_until_ms);
     for (size_t i = 0; i < w->end_count; i++) {
-        if (w->ends[i].number > c->ask.ack) {
+        if (w->ends[i].seq > c->ask.ack) {
             w->ends[kept++] = w->ends[i];
         }
     }
@@ -493,7 +493,8 @@
 }
 
 static void
-do_look(void *ctx, const struct rn_ask *ask, const struct rn_terms *terms)
+do_look(
+    void *ctx, const struct rn_poll_request *ask, const struct rn_terms *terms)
 {
     struct sim_agent *a = ctx;
     struct sim *s = a->s;
@@ -504,7 +505,7 @@
     c->lost = sim_chance(s) < s->workers[a->index].late;
     c->holders = 2;
     sim_at(s, s->d->call_us, look_arrives, c);
-    sim_at(s, (ask->wait_ms + RN_LOOK_MARGIN_MS) * 1000ULL, look_done, c);
+    sim_at(s, (ask->wait_ms + RN_POLL_MARGIN_MS) * 1000ULL, look_done, c);
 }
 
 const struct rn_ops sim_worker_ops = {do_start, do_stop, do_look, NULL};
--- a/test/agent-test.cc
+++ b/test/agent-test.cc
@@ -21,7 +21,7 @@
 }
 
 void
-no_look(void *, const rn_ask *, const rn_terms *)
+no_look(void *, const rn_poll_request *, const rn_terms *)
 {
 }
 
@@ -87,19 +87,19 @@
     void
     room(int64_t free_millicores)
     {
-        if (!a.runner.have_room) {
-            rn_look l = {};
+        if (!a.runner.capacity_known) {
+            rn_poll l = {};
 
-            rn_room(&a.runner, now, 10000, 1000, 0, 5);
-            l.asked_ms = now;
+            rn_set_capacity(&a.runner, now, 10000, 1000, 0, 5);
+            l.sent_ms = now;
             l.ok = true;
-            l.clock_ms = 1;
-            l.born_ms = 5;
+            l.worker_clock_ms = 1;
+            l.incarnation = 5;
             now++;
-            rn_looked(&a.runner, now, &l);
+            rn_poll_answered(&a.runner, now, &l);
         }
         a.runner.used_millicores = 10000 - free_millicores;
-        a.runner.room_changed_ms = now;
+        a.runner.capacity_changed_ms = now;
     }
     /* What a flush lets an entry hear; -1 if nothing. */
     int
--- a/test/coord-test.cc
+++ b/test/coord-test.cc
@@ -251,7 +251,8 @@
 
     e.submit(5, 1, &caller, 9000);
     uint64_t first = e.run_of(5);
-    uint64_t over = sess_over_at(&e.agent()->sess) + RN_STOP_MS + RN_LAPSE_MS;
+    uint64_t over =
+        sess_over_at(&e.agent()->sess) + RN_STOP_LIMIT_MS + RN_LEASE_EXPIRY_MS;
 
     while (e.now + 20 < over) {
         e.now += 20;
--- a/test/runner-test.cc
+++ b/test/runner-test.cc
@@ -30,7 +30,7 @@
 }
 
 void
-told_look(void *ctx, const rn_ask *, const rn_terms *t)
+told_look(void *ctx, const rn_poll_request *, const rn_terms *t)
 {
     static_cast<Told *>(ctx)->looks.push_back(*t);
 }
@@ -53,28 +53,28 @@
     {
         rn_init(&r, now, &told_ops, &told);
         look({}, {});
-        rn_room(&r, now, 10000, 1000, 0, 77);
+        rn_set_capacity(&r, now, 10000, 1000, 0, 77);
     }
     ~Agent()
     {
         rn_free(&r);
     }
     void
-    look(std::vector<rn_shown> running, std::vector<rn_end> ends,
+    look(std::vector<rn_poll_run> running, std::vector<rn_outcome> ends,
         uint64_t born = 77)
     {
-        rn_look l = {};
+        rn_poll l = {};
 
-        l.asked_ms = now;
+        l.sent_ms = now;
         l.ok = true;
-        l.clock_ms = now;
-        l.born_ms = born;
+        l.worker_clock_ms = now;
+        l.incarnation = born;
         l.running = running.data();
         l.running_count = running.size();
-        l.ends = ends.data();
-        l.end_count = ends.size();
+        l.outcomes = ends.data();
+        l.outcome_count = ends.size();
         now++;
-        rn_looked(&r, now, &l);
+        rn_poll_answered(&r, now, &l);
     }
     void
     order(uint64_t job, uint32_t millicores, uint64_t session = 1)
@@ -95,14 +95,14 @@
     {
         rn_key k = {job, 1, 0};
 
-        rn_started(&r, now, &k, result, now);
+        rn_start_answered(&r, now, &k, result, now);
     }
     dw_room
     room()
     {
         dw_room out;
 
-        rn_tell_room(&r, now, &out);
+        rn_get_capacity(&r, now, &out);
         return out;
     }
 };
@@ -141,14 +141,14 @@
     rn_key k = {1, 1, 0};
 
     a.order(1, 1000);
-    a.now += RN_ANSWER_MS;
+    a.now += RN_ANSWER_TIMEOUT_MS;
     a.started(1, RN_START_LOST);
     EXPECT_TRUE(a.told.ends.empty());
     a.now += 2;
     a.look({}, {});
     ASSERT_EQ(a.told.stops.size(), 1u);
     EXPECT_TRUE(a.told.ends.empty());
-    rn_stopped(&a.r, a.now, &k, true);
+    rn_stop_answered(&a.r, a.now, &k, true);
     EXPECT_TRUE(a.told.ends.empty());
     a.now += 2;
     a.look({}, {});
@@ -161,7 +161,7 @@
     Agent a;
 
     a.order(1, 1000);
-    a.now += RN_ANSWER_MS;
+    a.now += RN_ANSWER_TIMEOUT_MS;
     a.started(1, RN_START_LOST);
     a.now += 2;
     a.look({{{1, 1, 0}, 30}}, {});
@@ -179,7 +179,7 @@
 
     EXPECT_TRUE(a.room().serving);
     a.order(1, 1000);
-    a.started(1, RN_START_UNREACHED);
+    a.started(1, RN_START_UNREACHABLE);
     EXPECT_EQ(a.told.ends[0].second, DW_END_NOT_RUN);
     EXPECT_FALSE(a.room().serving);
     a.look({}, {});
@@ -196,13 +196,13 @@
     a.started(1, RN_START_OK);
     a.order(2, 1000, 2);
     a.started(2, RN_START_OK);
-    rn_session_over(&a.r, a.now, 1);
-    a.now += RN_STOP_MS + 1;
+    rn_session_ended(&a.r, a.now, 1);
+    a.now += RN_STOP_LIMIT_MS + 1;
     a.look({{{1, 1, 0}, 5}, {{2, 1, 0}, 5}}, {});
     ASSERT_FALSE(a.told.looks.empty());
-    EXPECT_EQ(a.told.looks.back().until_ms, 0u);
+    EXPECT_EQ(a.told.looks.back().lease_until_ms, 0u);
     a.look({{{2, 1, 0}, 5}}, {{1, {1, 1, 0}, DW_END_STOPPED}});
-    EXPECT_NE(a.told.looks.back().until_ms, 0u);
+    EXPECT_NE(a.told.looks.back().lease_until_ms, 0u);
 }
 
 /* A worker that starts anew under the same id: an order of the life before
@@ -216,12 +216,12 @@
     uint64_t fence = a.told.fence;
     a.look({}, {}, 99);
     EXPECT_FALSE(a.room().serving);
-    rn_room(&a.r, a.now, 10000, 1000, 0, 99);
+    rn_set_capacity(&a.r, a.now, 10000, 1000, 0, 99);
     a.now += 5;
     a.look({}, {}, 99);
     EXPECT_EQ(a.told.ends.size(), 1u);
     EXPECT_FALSE(a.room().serving);
-    a.now += RN_LONGEST_MS + 1;
+    a.now += RN_LEASE_MAX_MS + 1;
     rn_tick(&a.r, a.now);
     EXPECT_TRUE(a.room().serving);
     a.order(2, 1000);
@@ -234,26 +234,26 @@
 {
     Told told;
     runner r;
-    rn_look l = {};
-    rn_shown foreign = {{5, 5, 0}, 10};
+    rn_poll l = {};
+    rn_poll_run foreign = {{5, 5, 0}, 10};
     dw_room room;
 
     rn_init(&r, 100, &told_ops, &told);
-    l.asked_ms = 100;
+    l.sent_ms = 100;
     l.ok = true;
-    l.clock_ms = 9;
-    l.born_ms = 77;
+    l.worker_clock_ms = 9;
+    l.incarnation = 77;
     l.running = &foreign;
     l.running_count = 1;
-    rn_looked(&r, 101, &l);
-    rn_room(&r, 101, 10000, 1000, 0, 77);
-    rn_tell_room(&r, 102, &room);
+    rn_poll_answered(&r, 101, &l);
+    rn_set_capacity(&r, 101, 10000, 1000, 0, 77);
+    rn_get_capacity(&r, 102, &room);
     EXPECT_FALSE(room.serving);
     ASSERT_EQ(told.stops.size(), 1u);
-    l.asked_ms = 150;
+    l.sent_ms = 150;
     l.running_count = 0;
-    rn_looked(&r, 151, &l);
-    rn_tell_room(&r, 152, &room);
+    rn_poll_answered(&r, 151, &l);
+    rn_get_capacity(&r, 152, &room);
     EXPECT_TRUE(room.serving);
     rn_free(&r);
 }
@@ -264,7 +264,7 @@
 
     a.order(1, 1000);
     a.started(1, RN_START_OK);
-    rn_draining(&a.r, a.now, true, true, 2000);
+    rn_set_draining(&a.r, a.now, true, true, 2000);
     a.order(2, 1000);
     EXPECT_EQ(a.told.starts.size(), 1u);
     ASSERT_EQ(a.told.ends.size(), 1u);
--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -134,9 +134,9 @@
     EXPECT_EQ(l.running[0].key.job, 0x5c0e7a21d94b36f8u);
     EXPECT_EQ(l.running[0].key.index, 17u);
     EXPECT_EQ(l.running[0].percent, 41u);
-    ASSERT_EQ(l.look.end_count, 2u);
-    EXPECT_EQ(l.ends[0].how, DW_END_DONE);
-    EXPECT_EQ(l.ends[1].number, 59u); /* still taken note of */
+    ASSERT_EQ(l.look.outcome_count, 2u);
+    EXPECT_EQ(l.ends[0].outcome, DW_END_DONE);
+    EXPECT_EQ(l.ends[1].seq, 59u); /* still taken note of */
     EXPECT_EQ(l.ends[1].key.job, 0u);
     wire_look_free(&l);
 }
--- a/test/world.cc
+++ b/test/world.cc
@@ -55,8 +55,8 @@
         ms = call->second->task_ms[key.index];
     }
     auto lost = [a, id, key] {
-        to_agent(a, id, RN_ANSWER_MS, [a, key] {
-            rn_started(&a->a.runner, a->w->now, &key, RN_START_LOST, 0);
+        to_agent(a, id, RN_ANSWER_TIMEOUT_MS, [a, key] {
+            rn_start_answered(&a->a.runner, a->w->now, &key, RN_START_LOST, 0);
         });
     };
     if (w->chance() < f->late) {
@@ -69,7 +69,7 @@
     }
     bool mute = w->chance() < f->mute;
     w->after(CALL_MS, [=] {
-        rn_start_result result = RN_START_UNREACHED;
+        rn_start_result result = RN_START_UNREACHABLE;
 
         if (f->up) {
             w->worker_start(a->index, key, millicores, ms, terms, &result);
@@ -80,7 +80,7 @@
         }
         uint64_t clock = f->up ? w->worker_clock(*f) : 0;
         to_agent(a, id, CALL_MS, [a, key, result, clock] {
-            rn_started(&a->a.runner, a->w->now, &key, result, clock);
+            rn_start_answered(&a->a.runner, a->w->now, &key, result, clock);
         });
     });
 }
@@ -103,12 +103,13 @@
             w->worker_stop(a->index, key, terms);
         }
         to_agent(a, id, CALL_MS, [a, key, up, late] {
-            rn_stopped(&a->a.runner, a->w->now, &key, up && !late);
+            rn_stop_answered(&a->a.runner, a->w->now, &key, up && !late);
         });
     });
     if (late) {
-        to_agent(a, id, RN_ANSWER_MS,
-            [a, key] { rn_stopped(&a->a.runner, a->w->now, &key, false); });
+        to_agent(a, id, RN_ANSWER_TIMEOUT_MS, [a, key] {
+            rn_stop_answered(&a->a.runner, a->w->now, &key, false);
+        });
     }
 }
 
@@ -123,8 +124,8 @@
 {
     World *w = a->w;
     FakeWorker *f = w->workers[a->index].get();
-    auto running = std::make_shared<std::vector<rn_shown>>();
-    auto ends = std::make_shared<std::vector<rn_end>>(f->ends);
+    auto running = std::make_shared<std::vector<rn_poll_run>>();
+    auto ends = std::make_shared<std::vector<rn_outcome>>(f->ends);
     uint64_t clock = w->worker_clock(*f);
     uint64_t born = f->born;
 
@@ -136,18 +137,18 @@
         running->push_back({r.second.first, 0});
     }
     to_agent(a, id, CALL_MS, [=] {
-        rn_look l = {};
+        rn_poll l = {};
 
-        l.asked_ms = call->asked;
-        l.quick = call->quick;
+        l.sent_ms = call->asked;
+        l.immediate = call->quick;
         l.ok = true;
-        l.clock_ms = clock;
-        l.born_ms = born;
+        l.worker_clock_ms = clock;
+        l.incarnation = born;
         l.running = running->data();
         l.running_count = running->size();
-        l.ends = ends->data();
-        l.end_count = ends->size();
-        rn_looked(&a->a.runner, w->now, &l);
+        l.outcomes = ends->data();
+        l.outcome_count = ends->size();
+        rn_poll_answered(&a->a.runner, w->now, &l);
     });
 }
 
@@ -169,12 +170,12 @@
 }
 
 void
-do_look(void *ctx, const rn_ask *ask, const rn_terms *told)
+do_look(void *ctx, const rn_poll_request *ask, const rn_terms *told)
 {
     rn_terms terms = *told;
     uint64_t ack = ask->ack;
     uint32_t wait_ms = ask->wait_ms;
-    bool quick = ask->quick;
+    bool quick = ask->immediate;
     FakeAgent *a = self(ctx);
     World *w = a->w;
     FakeWorker *f = w->workers[a->index].get();
@@ -188,13 +189,13 @@
         if (!f->up || lost || w->fenced(*f, terms.fence)) {
             return;
         }
-        w->renew(*f, terms.until_ms);
-        while (!f->ends.empty() && f->ends.front().number <= ack) {
+        w->renew(*f, terms.lease_until_ms);
+        while (!f->ends.empty() && f->ends.front().seq <= ack) {
             f->ends.erase(f->ends.begin());
         }
         wait_look(a, id, call, w->now + wait_ms);
     });
-    w->after(wait_ms + RN_LOOK_MARGIN_MS, [=] {
+    w->after(wait_ms + RN_POLL_MARGIN_MS, [=] {
         if (call->answered) {
             return;
         }
@@ -203,12 +204,12 @@
             return;
         }
         w->on_agent(a, [=] {
-            rn_look l = {};
+            rn_poll l = {};
 
-            l.asked_ms = call->asked;
-            l.quick = quick;
-            l.unreached = !f->up;
-            rn_looked(&a->a.runner, w->now, &l);
+            l.sent_ms = call->asked;
+            l.immediate = quick;
+            l.unreachable = !f->up;
+            rn_poll_answered(&a->a.runner, w->now, &l);
         });
     });
 }
@@ -439,7 +440,7 @@
     a->frozen_until = 0;
     a->unread.clear();
     ag_init(&a->a, now, &agent_ops, a);
-    rn_room(&a->a.runner, now, workers[i]->millicores, 1000000, 0,
+    rn_set_capacity(&a->a.runner, now, workers[i]->millicores, 1000000, 0,
         workers[i]->born);
     for (auto &e : entries) {
         if (e->up) {
@@ -489,7 +490,8 @@
     }
     if (w->up) {
         on_agent(a, [this, a, w] {
-            rn_room(&a->a.runner, now, w->millicores, 1000000, 0, w->born);
+            rn_set_capacity(
+                &a->a.runner, now, w->millicores, 1000000, 0, w->born);
         });
     }
     after(1500, [this, a, id] { beat_agent(a, id); });
@@ -783,8 +785,8 @@
 {
     FakeAgent *a = agents[i].get();
 
-    on_agent(
-        a, [this, a] { rn_draining(&a->a.runner, now, true, true, 2000); });
+    on_agent(a,
+        [this, a] { rn_set_draining(&a->a.runner, now, true, true, 2000); });
     after(2300, [this, i] { crash_worker(i, 3000); });
 }
 
@@ -807,13 +809,13 @@
 World::end_run(FakeWorker &w, const std::string &task, dw_end how)
 {
     auto it = w.runs.find(task);
-    rn_end end;
+    rn_outcome end;
 
     trace("worker: task %s run %lu ended %d", task.c_str(),
         it->second.first.run, how);
-    end.number = w.next_end++;
+    end.seq = w.next_end++;
     end.key = it->second.first;
-    end.how = how;
+    end.outcome = how;
     w.highest[task] = end.key.run;
     w.ends.push_back(end);
     w.runs.erase(it);
@@ -851,14 +853,14 @@
 
     *result = RN_START_REFUSED;
     if (!w.up) {
-        *result = RN_START_UNREACHED;
+        *result = RN_START_UNREACHABLE;
         return false;
     }
     if (fenced(w, terms.fence)) {
         *result = RN_START_FENCED;
         return false;
     }
-    if (terms.until_ms < worker_clock(w)) {
+    if (terms.lease_until_ms < worker_clock(w)) {
         return false; /* late */
     }
     if (w.runs.count(task) != 0) {
@@ -886,7 +888,7 @@
                 std::to_string(i) + " run " + std::to_string(key.run));
         }
     }
-    renew(w, terms.until_ms);
+    renew(w, terms.lease_until_ms);
     w.runs[task] = {
         key, {millicores, w.hangs ? UINT64_MAX : now + (uint64_t)(ms * w.slow),
                  w.fails_all, false}};
--- a/test/world.hh
+++ b/test/world.hh
@@ -40,7 +40,7 @@
     uint64_t next_end = 1;
     std::map<std::string, std::pair<rn_key, Run>> runs; /* by task */
     std::map<std::string, uint64_t> highest; /* run stopped or ended */
-    std::vector<rn_end> ends;
+    std::vector<rn_outcome> ends;
     /* Faults. */
     double late = 0; /* share of orders carried out seconds later */
     double mute = 0; /* share carried out at once, the answer lost */
