--- a/runner.c
+++ b/runner.c
@@ -7,18 +7,19 @@
 #include "num.h"
 
 /*
- * Two speeds are learned from the progress of runs.  The present one tells
- * within a tenth of a second that a worker has turned slow or stands still:
- * after PACE_HALF_MS of each run under way (at most PACE_RUNS_MAX of them)
- * half of it is new.  The usual one tells fast machines from slower ones;
- * estimates are off by 40 %, so it takes some hundred runs, and none from
- * times in which the worker is slow.
+ * Two moving averages of speed are computed from the progress of runs.  The
+ * short-term pace shows within a tenth of a second that a worker has become
+ * slow or has stalled: after PACE_HALF_MS of each active run (at most
+ * PACE_RUNS_MAX of them) new observations make up half of it.  The long-term
+ * speed distinguishes fast machines from slow ones; as estimates are off by
+ * 40 %, it averages over some hundred runs, and leaves out times in which the
+ * worker is slow.
  */
 #define PACE_HALF_MS 100U
 #define PACE_RUNS_MAX 6U
 #define USUAL_HALF_MS 8000U
-/* Added to the fence when the worker has seen a higher one, as after the
- * time of day was set back: more than clocks are set back by, in ms. */
+/* Added to the fence when the worker has seen a higher one, as happens when
+ * the time of day was set back; in ms, more than clocks are set back by. */
 #define FENCE_STEP 86400000U
 #define SPEED_MIN_PERMILLE 50U
 #define SPEED_MAX_PERMILLE 4000U
@@ -61,7 +62,7 @@
     }
 }
 
-/* A run has come so far since it was last seen. */
+/* Accounts for a run's progress since its last report. */
 static void
 note_progress(
     struct runner *r, uint64_t now, struct rn_run *run, uint32_t percent)
@@ -76,14 +77,14 @@
     run->progress_ms = now;
 }
 
-/* Half of the value is new after so many ms. */
+/* After half_ms of observation, `seen` makes up half of the value. */
 static uint32_t
 moving_average(uint32_t value, uint64_t seen, uint64_t ms, uint64_t half_ms)
 {
     return (uint32_t)((value * half_ms + seen * ms) / (half_ms + ms));
 }
 
-/* Speed is work done, as estimated, over the time it took. */
+/* Speed is estimated work done over the time it took. */
 static void
 update_speed(struct runner *r)
 {
@@ -107,23 +108,23 @@
 }
 
 static void
-finish_run(struct runner *r, uint64_t now, struct rn_run *run, dw_end how)
+finish_run(struct runner *r, uint64_t now, struct rn_run *run, dw_end outcome)
 {
     uint32_t ran_ms =
         run->started_ms != 0 ? (uint32_t)num_minus(now, run->started_ms) : 0;
 
-    if (how == DW_END_DONE) {
+    if (outcome == DW_END_DONE) {
         r->stats.done++;
         note_progress(r, now, run, 100);
     }
-    else if (how == DW_END_FAILED) {
+    else if (outcome == DW_END_FAILED) {
         r->stats.failed++;
     }
-    if (how == DW_END_DONE || how == DW_END_FAILED) {
+    if (outcome == DW_END_DONE || outcome == DW_END_FAILED) {
         r->fail_permille =
-            rn_fail_average(r->fail_permille, how == DW_END_FAILED);
+            rn_fail_average(r->fail_permille, outcome == DW_END_FAILED);
     }
-    r->ops->ended(r->ctx, run, how, ran_ms);
+    r->ops->ended(r->ctx, run, outcome, ran_ms);
     remove_run(r, now, run);
 }
 
@@ -136,9 +137,9 @@
     return run;
 }
 
-/* --- the worker's clock and lease --- */
+/* --- worker's clock and lease --- */
 
-/* What the worker's clock shows at most. */
+/* Upper bound of what the worker's clock shows. */
 static uint64_t
 worker_clock(const struct runner *r, uint64_t now)
 {
@@ -154,8 +155,8 @@
     }
 }
 
-/* The time to renew until, in the worker's clock; from now on it may hold
- * our runs for that long. */
+/* Returns the new end of the lease by the worker's clock; until then the
+ * worker may keep our runs. */
 static uint64_t
 extend_lease(struct runner *r, uint64_t now)
 {
@@ -168,11 +169,11 @@
 }
 
 /*
- * The lease holds for all runs together.  An entry counts the runs of an
- * ended session as over after RN_STOP_LIMIT_MS and one lease; if a stop gets
- * lost, renewing for the others would keep such a run alive beside its
- * successor. A worker that did not answer the last look may have started anew:
- * a time on its earlier clock could lie far ahead on the new one.
+ * One lease covers all runs.  An entry treats the runs of an ended session as
+ * over after RN_STOP_LIMIT_MS and one lease; if a stop gets lost, renewing
+ * the lease for other runs would keep such a run alive beside its successor.
+ * A worker that did not answer the last poll may have restarted: a time by
+ * its former clock could be far in the future by its new one.
  */
 static bool
 may_renew(const struct runner *r, uint64_t now)
@@ -189,12 +190,13 @@
 }
 
 static void
-send_poll(struct runner *r, uint64_t until_ms, uint32_t wait_ms, bool quick)
+send_poll(
+    struct runner *r, uint64_t until_ms, uint32_t wait_ms, bool immediate)
 {
     struct rn_terms terms = {until_ms, r->fence};
-    struct rn_poll_request ask = {r->ack, wait_ms, quick};
+    struct rn_poll_request request = {r->ack, wait_ms, immediate};
 
-    r->ops->poll(r->ctx, &ask, &terms);
+    r->ops->poll(r->ctx, &request, &terms);
 }
 
 static void
@@ -217,8 +219,8 @@
     send_poll(r, until, wait_ms, false);
 }
 
-/* What became of a start that was not answered is asked at once, beside the
- * look that waits for an end. */
+/* Finds out at once whether an unanswered start took effect; sent beside the
+ * poll that waits for an outcome. */
 static void
 poll_immediately(struct runner *r)
 {
@@ -229,8 +231,9 @@
 }
 
 /*
- * A worker that cannot be reached refuses faster than any other works: taken
- * for free, it would draw all tasks.  It gets none until a look succeeds.
+ * An unreachable worker fails starts faster than any other worker completes
+ * them: if it counted as free, it would attract all tasks.  It gets none
+ * until a poll succeeds.
  */
 static void
 set_silent(struct runner *r, uint64_t now)
@@ -249,7 +252,7 @@
            r->used_gpus + run->gpus <= r->gpus;
 }
 
-/* Another run of the same task is here and not certainly over. */
+/* Another run of the same task is active here. */
 static bool
 task_active(const struct runner *r, const struct rn_run *run)
 {
@@ -307,13 +310,13 @@
             start_run(r, now, run);
         }
     }
-    /* What was started is looked after at once, not when idle. */
+    /* The first poll after a start does not wait for the idle interval. */
     if (r->poll_ms == 0 && r->polls_failed == 0 && rn_active_count(r) > 0) {
         start_poll(r, now, RN_POLL_MS);
     }
 }
 
-/* How long after the last look the next is due. */
+/* ms from the last poll until the next is due. */
 static uint32_t
 poll_pause(const struct runner *r)
 {
@@ -324,9 +327,10 @@
 }
 
 /*
- * Entries that saw the same free cores send more than there is room for.
- * Those runs are better off elsewhere at once than waiting here for cores
- * that come free later.  One that only waits for its own predecessor stays.
+ * Entries that were reported the same free cores may order more than fits.
+ * The excess is refused at once, so that it can be placed elsewhere instead
+ * of waiting here.  A run that only waits for an earlier run of its own task
+ * stays queued.
  */
 void
 rn_order(struct runner *r, uint64_t now, uint64_t entry, uint64_t session,
@@ -413,34 +417,34 @@
     start_queued(r, now);
 }
 
-/* --- what the worker said --- */
+/* --- reports of the worker --- */
 
 /*
- * An order may be carried out seconds late, by a worker that started anew
- * meanwhile: its lease then lies far ahead on the new clock, and the task has
- * long run elsewhere.  A fence that rises with each life makes the worker
- * refuse it.
+ * A start may arrive seconds late at a worker that has restarted meanwhile:
+ * its lease would then end far in the future by the new clock, while the task
+ * has run elsewhere.  The fence increases with each incarnation, so that the
+ * worker refuses such a start.
  */
 static void
-set_incarnation(struct runner *r, uint64_t born_ms)
+set_incarnation(struct runner *r, uint64_t incarnation)
 {
-    r->incarnation = born_ms;
-    r->fence = num_max(r->fence + 1, born_ms);
+    r->incarnation = incarnation;
+    r->fence = num_max(r->fence + 1, incarnation);
 }
 
 /*
- * The worker started anew.  Which runs were of the life before is not known:
- * an order on its way may have reached the new one.  The look that showed it,
- * or the next, tells for each whether it is there.
+ * Which runs belonged to the former incarnation is not known: a start in
+ * transit may have reached the new one.  The poll that revealed the restart,
+ * or the next, shows for each run whether it exists.
  */
 static void
-worker_restarted(struct runner *r, uint64_t now, uint64_t born_ms)
+worker_restarted(struct runner *r, uint64_t now, uint64_t incarnation)
 {
     r->fail_permille = 0;
     r->stats.worker_restarts++;
     r->worker_clock_ms = 0;
     r->polled = false;
-    set_incarnation(r, born_ms);
+    set_incarnation(r, incarnation);
     r->incarnation_seen_ms = now;
     r->capacity_known = false;
     r->draining = false;
@@ -453,21 +457,21 @@
 
 void
 rn_set_capacity(struct runner *r, uint64_t now, uint32_t millicores,
-    uint32_t memory_mb, uint32_t gpus, uint64_t born_ms)
+    uint32_t memory_mb, uint32_t gpus, uint64_t incarnation)
 {
     if (r->incarnation == 0) {
-        set_incarnation(r, born_ms);
+        set_incarnation(r, incarnation);
     }
-    if (born_ms > r->incarnation) {
-        worker_restarted(r, now, born_ms);
+    if (incarnation > r->incarnation) {
+        worker_restarted(r, now, incarnation);
     }
     if (!r->capacity_known) {
         r->millicores = 0;
         r->memory_mb = 0;
         r->gpus = 0;
     }
-    if (born_ms == r->incarnation) {
-        /* What is free is never more than the whole. */
+    if (incarnation == r->incarnation) {
+        /* Free capacity never exceeds the total. */
         r->millicores = (uint32_t)num_max(r->millicores, millicores);
         r->memory_mb = (uint32_t)num_max(r->memory_mb, memory_mb);
         r->gpus = (uint32_t)num_max(r->gpus, gpus);
@@ -540,10 +544,10 @@
         return;
     }
     if (!answered) {
-        return; /* rn_tick() asks again */
+        return; /* rn_tick() sends it again */
     }
-    /* Later arrivals of the start are refused from now on; whether it runs
-     * or has ended, the next look tells. */
+    /* From now on the worker refuses a late start of this run; the next poll
+     * shows whether it runs or has ended. */
     run->conclusive_ms = now;
     if (!run->reported) {
         poll_immediately(r);
@@ -551,18 +555,18 @@
 }
 
 static void
-process_outcomes(struct runner *r, uint64_t now, const struct rn_poll *l)
+process_outcomes(struct runner *r, uint64_t now, const struct rn_poll *p)
 {
-    for (size_t i = 0; i < l->outcome_count; i++) {
-        const struct rn_outcome *e = &l->outcomes[i];
-        struct rn_run *run = find_run(r, &e->key);
+    for (size_t i = 0; i < p->outcome_count; i++) {
+        const struct rn_outcome *o = &p->outcomes[i];
+        struct rn_run *run = find_run(r, &o->key);
 
-        if (e->seq <= r->ack) {
+        if (o->seq <= r->ack) {
             continue;
         }
-        r->ack = e->seq;
+        r->ack = o->seq;
         if (run != NULL && run->state != RN_QUEUED) {
-            finish_run(r, now, run, e->outcome);
+            finish_run(r, now, run, o->outcome);
         }
     }
 }
@@ -579,19 +583,19 @@
 }
 
 static void
-process_running(struct runner *r, uint64_t now, const struct rn_poll *l)
+process_running(struct runner *r, uint64_t now, const struct rn_poll *p)
 {
     r->orphans = 0;
-    for (size_t i = 0; i < l->running_count; i++) {
-        const struct rn_poll_run *s = &l->running[i];
+    for (size_t i = 0; i < p->running_count; i++) {
+        const struct rn_poll_run *s = &p->running[i];
         struct rn_run *run = find_run(r, &s->key);
 
         if (run == NULL && ended_recently(r, &s->key)) {
             continue;
         }
         if (run == NULL) {
-            /* Of an agent that was here before, or carried out late: its
-             * size is not known, so nothing starts beside it. */
+            /* Started by an earlier agent, or by a late request: its size is
+             * unknown, so nothing is started beside it. */
             r->orphans++;
             r->stats.orphans++;
             send_stop(r, &s->key);
@@ -608,30 +612,30 @@
 }
 
 static bool
-is_reported(const struct rn_poll *l, const struct rn_key *key)
+is_reported(const struct rn_poll *p, const struct rn_key *key)
 {
-    for (size_t i = 0; i < l->running_count; i++) {
-        if (memcmp(&l->running[i].key, key, sizeof(*key)) == 0) {
+    for (size_t i = 0; i < p->running_count; i++) {
+        if (memcmp(&p->running[i].key, key, sizeof(*key)) == 0) {
             return true;
         }
     }
     return false;
 }
 
-/* Runs that a look neither showed running nor ended. */
+/* Decides on runs that a poll showed neither as running nor as ended. */
 static void
-resolve_absent(struct runner *r, uint64_t now, const struct rn_poll *l)
+resolve_absent(struct runner *r, uint64_t now, const struct rn_poll *p)
 {
     struct rn_run *run;
     struct rn_run *tmp;
 
     HASH_ITER (hh, r->runs, run, tmp) {
         if (run->state == RN_QUEUED || run->state == RN_STARTING ||
-            l->sent_ms <= run->conclusive_ms || is_reported(l, &run->key)) {
+            p->sent_ms <= run->conclusive_ms || is_reported(p, &run->key)) {
             continue;
         }
         if (run->state == RN_UNSURE) {
-            /* It may still arrive: a stop makes the worker refuse it. */
+            /* The start may still arrive: after a stop it is refused. */
             stop_run(r, now, run);
         }
         else {
@@ -643,11 +647,11 @@
 }
 
 /*
- * The first look that carried this life's fence: later arrivals of orders to
- * the life before are refused.  One that came earlier may have renewed the
- * lease with a time on the earlier clock, cut to the longest lease only.
- * Entries count on RN_LEASE_EXPIRY_MS, should this agent die: nothing starts
- * before that lease has run out.
+ * The first poll that carried the fence of this incarnation: from now on the
+ * worker refuses late requests meant for the former one.  A late request that
+ * arrived before may have renewed the lease with a time by the former clock,
+ * limited only by the longest lease.  If this agent dies, entries rely on
+ * RN_LEASE_EXPIRY_MS, so nothing is started until that lease has run out.
  */
 static void
 first_poll(struct runner *r, uint64_t now)
@@ -659,22 +663,22 @@
 }
 
 static void
-process_poll(struct runner *r, uint64_t now, const struct rn_poll *l)
+process_poll(struct runner *r, uint64_t now, const struct rn_poll *p)
 {
-    if (r->incarnation != 0 && l->incarnation != r->incarnation) {
-        worker_restarted(r, now, l->incarnation);
+    if (r->incarnation != 0 && p->incarnation != r->incarnation) {
+        worker_restarted(r, now, p->incarnation);
     }
-    note_clock(r, now, l->worker_clock_ms);
+    note_clock(r, now, p->worker_clock_ms);
     if (r->incarnation == 0) {
-        set_incarnation(r, l->incarnation);
+        set_incarnation(r, p->incarnation);
     }
     r->silent = false;
-    if (!r->polled && l->sent_ms > r->incarnation_seen_ms) {
+    if (!r->polled && p->sent_ms > r->incarnation_seen_ms) {
         first_poll(r, now);
     }
-    process_outcomes(r, now, l);
-    process_running(r, now, l);
-    resolve_absent(r, now, l);
+    process_outcomes(r, now, p);
+    process_running(r, now, p);
+    resolve_absent(r, now, p);
     update_speed(r);
     if (r->orphans == 0 && now - r->started_ms > RN_LEASE_EXPIRY_MS) {
         r->clean = true;
@@ -682,9 +686,9 @@
 }
 
 static void
-poll_failed(struct runner *r, uint64_t now, const struct rn_poll *l)
+poll_failed(struct runner *r, uint64_t now, const struct rn_poll *p)
 {
-    if (l->unreachable || r->polls_failed >= RN_SILENT_POLLS) {
+    if (p->unreachable || r->polls_failed >= RN_SILENT_POLLS) {
         set_silent(r, now);
     }
     else {
@@ -693,31 +697,31 @@
 }
 
 void
-rn_poll_answered(struct runner *r, uint64_t now, const struct rn_poll *l)
+rn_poll_answered(struct runner *r, uint64_t now, const struct rn_poll *p)
 {
-    /* Of a life before the one that is known since. */
-    bool old = r->incarnation != 0 && l->incarnation != r->incarnation &&
-               l->sent_ms <= r->incarnation_seen_ms;
+    /* Sent before a restart and answered by the former incarnation. */
+    bool outdated = r->incarnation != 0 && p->incarnation != r->incarnation &&
+                    p->sent_ms <= r->incarnation_seen_ms;
 
-    if (l->immediate) {
+    if (p->immediate) {
         r->immediate_pending = false;
     }
     else {
         r->poll_ms = 0;
-        r->polls_failed += !l->ok;
-        r->ack_confirmed = l->ok && !old ? r->ack_sent : r->ack_confirmed;
+        r->polls_failed += !p->ok;
+        r->ack_confirmed = p->ok && !outdated ? r->ack_sent : r->ack_confirmed;
     }
-    if (l->ok && !old) {
-        process_poll(r, now, l);
+    if (p->ok && !outdated) {
+        process_poll(r, now, p);
         r->polls_failed = 0;
     }
-    else if (!l->ok && !l->immediate) {
-        poll_failed(r, now, l);
+    else if (!p->ok && !p->immediate) {
+        poll_failed(r, now, p);
     }
     start_queued(r, now);
 }
 
-/* The worker could not be reached for a whole lease: all has ended there. */
+/* After a lease without renewal the worker has ended all runs. */
 static void
 expire_lease(struct runner *r, uint64_t now)
 {
--- a/runner.h
+++ b/runner.h
@@ -1,11 +1,14 @@
 /*
  * runner - an agent's exact account of the runs on its worker
  *
- * Only this agent gives the worker orders, so what it reserves is exact: a
- * run counts from before its start is sent until its end is certain, what is
- * being stopped included.  All runs live by one lease on the worker, which is
- * renewed a short time ahead: if this process freezes or dies, the worker
- * ends everything within RN_LEASE_MS.
+ * Only this agent starts runs on its worker, so its reservations are exact: a
+ * run holds its resources from before its start is sent until its end is
+ * certain, also while it is being stopped.  All runs depend on one lease on
+ * the worker, which is renewed a short time ahead: if this process freezes or
+ * dies, the worker ends every run within RN_LEASE_MS.
+ *
+ * Times named now and *_ms are ms of this process's monotonic clock unless
+ * stated otherwise.
  *
  * Source: Gray and Cheriton: Leases, SOSP 1989.
  */
@@ -23,46 +26,46 @@
 extern "C" {
 #endif
 
-/* ms the worker's lease is renewed ahead; several times RN_POLL_MS. */
+/* Length of the worker's lease in ms; several times RN_POLL_MS. */
 #define RN_LEASE_MS 300U
-/* ms that a look waits for an end, which is how often the lease is renewed
- * at least.  Ends are learned by looks only: while one in some is lost,
- * longer ones hold answers back. */
+/* ms that a poll waits on the worker for an outcome, and so the longest time
+ * between renewals of the lease.  Outcomes are learned by polls only: when
+ * polls get lost, a longer wait delays answers. */
 #define RN_POLL_MS 40U
-/* ms beyond that until a look counts as lost; answers take 1 to 5. */
+/* ms beyond the wait until a poll counts as lost; answers take 1 to 5. */
 #define RN_POLL_MARGIN_MS 15U
-/* Looks lost in a row after which the worker counts as silent. */
+/* Polls lost in a row after which the worker counts as silent. */
 #define RN_SILENT_POLLS 3U
-/* ms between looks while nothing runs. */
+/* ms between polls while nothing runs. */
 #define RN_IDLE_POLL_MS 500U
-/* ms between looks at a worker that did not answer the last, or whose earlier
- * runs are waited for. */
+/* ms from a poll to the next while the worker is silent, has runs (also of an
+ * earlier agent) or lacks an acknowledgement. */
 #define RN_RETRY_POLL_MS 25U
 /* ms without an answer until a start or stop counts as lost; answers take 1
- * to 5.  A lost start costs a task of 60 ms this, a look, a stop and a second
- * start, and still meets an aim of 180 ms. */
+ * to 5.  A lost start costs a task of 60 ms this time, a poll, a stop and a
+ * second start, and the task still meets an objective of 180 ms. */
 #define RN_ANSWER_TIMEOUT_MS 20U
-/* ms in which runs of an ended session must be gone; after that the lease is
- * not renewed, for anybody, until they are. */
+/* ms within which runs of an ended session must have stopped; after that the
+ * lease is not renewed, for any run, until they have. */
 #define RN_STOP_LIMIT_MS 100U
-/* Ends remembered, so that a look that was overtaken by one of them does not
- * show a run of nobody's. */
+/* Ended runs remembered, so that the answer of a poll that crossed an
+ * outcome does not report the run as unknown. */
 #define RN_RECENT_MAX 64U
-/* The worker's clock may run slow by this part of a hundred. */
+/* The worker's clock may run slow by this percentage. */
 #define RN_DRIFT_PERCENT 2U
 
-/* Local time until the worker has ended what it was told at `at` ms to keep
- * for one lease. */
+/* ms of local time from a renewal until the worker has certainly ended all
+ * runs, unless the lease was renewed again. */
 #define RN_LEASE_EXPIRY_MS                                                    \
     (RN_LEASE_MS + RN_LEASE_MS * RN_DRIFT_PERCENT / 100 + 20U)
 
-/* ms of the longest lease a worker grants, its clock's drift included. */
+/* Longest lease in ms that a worker grants, its clock's drift included. */
 #define RN_LEASE_MAX_MS 1040U
 
-/* The newest run's weight in the share of failed ones. */
+/* The average of failures takes 1/RN_FAIL_WEIGHT from the newest run. */
 #define RN_FAIL_WEIGHT 8U
 
-/* The share of runs that failed, after one more has ended. */
+/* Moving average of failed runs in permille, after one more has ended. */
 static inline uint32_t
 rn_fail_average(uint32_t permille, bool failed)
 {
@@ -70,6 +73,7 @@
            RN_FAIL_WEIGHT;
 }
 
+/* Identifies one run of task `index` of a job. */
 struct rn_key {
     uint64_t job;
     uint64_t run;
@@ -77,103 +81,117 @@
 };
 
 enum rn_state {
-    RN_QUEUED,
-    RN_STARTING, /* told to start, no answer yet */
-    RN_UNSURE,   /* the answer was lost */
+    RN_QUEUED,   /* waits here, holds no resources */
+    RN_STARTING, /* start sent, not answered yet */
+    RN_UNSURE,   /* the answer to the start was lost */
     RN_RUNNING,
-    RN_STOPPING
+    RN_STOPPING /* stop sent, end not certain yet */
 };
 
+/* A run that an entry ordered, until its end is certain. */
 struct rn_run {
     struct rn_key key;
-    uint64_t entry;
-    uint64_t session;
+    uint64_t entry;   /* id of the entry that ordered it */
+    uint64_t session; /* of that entry with this agent */
     uint32_t millicores;
     uint32_t memory_mb;
     uint32_t gpus;
-    uint32_t est_ms;
+    uint32_t est_ms; /* estimated run time */
     uint32_t priority;
-    char *spec;
+    char *spec; /* the job's task specification */
     enum rn_state state;
-    bool reported;      /* a look has shown it */
-    bool session_ended; /* its session is over */
+    bool reported;      /* a poll has shown it running */
+    bool session_ended; /* stopped because its session ended */
     uint64_t received_ms;
-    uint64_t wait_until_ms; /* of waiting here */
-    uint64_t sent_ms;       /* its start, then its last stop */
-    uint64_t conclusive_ms; /* a look asked after this tells all about it */
-    uint64_t session_ended_ms;
-    uint64_t started_ms;
-    uint32_t progress_percent;
-    uint64_t progress_ms; /* when it was last seen */
+    uint64_t wait_until_ms; /* refused as full if it is still queued then */
+    uint64_t sent_ms;       /* when its start, later its last stop, was sent */
+    /* A poll sent after this time decides whether the run exists; UINT64_MAX
+     * while a stop has not been answered. */
+    uint64_t conclusive_ms;
+    uint64_t session_ended_ms; /* when its session ended */
+    uint64_t started_ms;       /* when its start was sent; 0: not confirmed */
+    uint32_t progress_percent; /* as the worker last reported */
+    uint64_t progress_ms;      /* when that report arrived */
     UT_hash_handle hh;
 };
 
+/* Result of a start request. */
 enum rn_start_result {
     RN_START_OK,
     RN_START_REFUSED,     /* certainly not started */
-    RN_START_UNREACHABLE, /* the same, as no connection came about */
-    RN_START_FENCED,      /* not started: a higher fence has been there */
-    RN_START_LOST
+    RN_START_UNREACHABLE, /* not started: connection failed */
+    RN_START_FENCED,      /* not started: worker has seen a higher fence */
+    RN_START_LOST         /* no answer: may have started, may start later */
 };
 
-/* What a look showed. */
+/* A run that a poll showed running. */
 struct rn_poll_run {
     struct rn_key key;
-    uint32_t percent;
+    uint32_t percent; /* progress */
 };
 
+/* How a run ended, as the worker reports it. */
 struct rn_outcome {
-    uint64_t seq;
+    uint64_t seq; /* ascending within one incarnation of the worker */
     struct rn_key key;
     dw_end outcome;
 };
 
+/* Answer of a poll, or its failure. */
 struct rn_poll {
-    uint64_t sent_ms;
-    bool immediate; /* beside the one that waits */
-    bool ok;
-    bool unreachable; /* no connection came about */
+    uint64_t sent_ms; /* when the poll was sent */
+    bool immediate;   /* sent beside the poll that waits for an outcome */
+    bool ok;          /* answered; valid fields follow unreachable */
+    bool unreachable; /* failed as no connection could be made */
     uint64_t worker_clock_ms;
-    uint64_t incarnation;
+    uint64_t incarnation; /* start time of the worker's program, ms */
     const struct rn_poll_run *running;
     size_t running_count;
-    const struct rn_outcome *outcomes;
+    const struct rn_outcome *outcomes; /* not acknowledged, oldest first */
     size_t outcome_count;
 };
 
-/* What every order to the worker carries. */
+/* Sent with every request to the worker. */
 struct rn_terms {
-    uint64_t
-        lease_until_ms; /* of the lease, in the worker's clock; 0: as it is */
-    uint64_t fence;     /* the worker does nothing for a lower one */
+    /* New end of the lease by the worker's clock; 0 leaves it unchanged. */
+    uint64_t lease_until_ms;
+    /* Fencing number; the worker refuses one lower than it has seen. */
+    uint64_t fence;
 };
 
 struct rn_poll_request {
-    uint64_t ack; /* ends up to this one have been taken note of */
-    uint32_t wait_ms;
-    bool immediate; /* beside the one that waits */
+    uint64_t ack;     /* outcomes up to this number were processed */
+    uint32_t wait_ms; /* how long the worker may wait for an outcome */
+    bool immediate;   /* sent beside the poll that waits for an outcome */
 };
 
-/* How decisions are carried out. */
+/*
+ * Requests to the worker and the report of outcomes.  start, stop and poll
+ * return at once; their results come back by rn_start_answered(),
+ * rn_stop_answered() and rn_poll_answered().
+ */
 struct rn_ops {
     void (*start)(
         void *ctx, const struct rn_run *r, const struct rn_terms *terms);
     void (*stop)(
         void *ctx, const struct rn_key *key, const struct rn_terms *terms);
-    void (*poll)(void *ctx, const struct rn_poll_request *ask,
+    void (*poll)(void *ctx, const struct rn_poll_request *request,
         const struct rn_terms *terms);
+    /* The run's end is certain; it took ran_ms, 0 if no start was
+     * confirmed. */
     void (*ended)(
-        void *ctx, const struct rn_run *r, dw_end how, uint32_t ran_ms);
+        void *ctx, const struct rn_run *r, dw_end outcome, uint32_t ran_ms);
 };
 
+/* Counters since rn_init(). */
 struct rn_stats {
-    uint64_t started;
+    uint64_t started; /* starts sent */
     uint64_t done;
     uint64_t failed;
-    uint64_t lost_starts;
-    uint64_t lease_expired;
-    uint64_t orphans;
-    uint64_t no_capacity;
+    uint64_t lost_starts;   /* starts without an answer */
+    uint64_t lease_expired; /* runs lost because the lease ran out */
+    uint64_t orphans;       /* running there but not known here */
+    uint64_t no_capacity;   /* refused as full */
     uint64_t worker_restarts;
 };
 
@@ -181,45 +199,45 @@
     const struct rn_ops *ops;
     void *ctx;
     struct rn_run *runs;
-    uint64_t started_ms;
-    bool capacity_known;
+    uint64_t started_ms; /* when rn_init() was called */
+    bool capacity_known; /* reported by the worker's present incarnation */
     bool draining;
-    uint64_t
-        worker_exit_ms; /* the worker may be gone from then on; 0: stays */
-    uint32_t millicores;
+    uint64_t worker_exit_ms; /* the worker may exit from then on; 0: stays */
+    uint32_t millicores;     /* total, as are the next two */
     uint32_t memory_mb;
     uint32_t gpus;
-    int64_t used_millicores;
+    int64_t used_millicores; /* by all runs but queued ones */
     int64_t used_memory_mb;
     int64_t used_gpus;
-    uint64_t incarnation;
+    uint64_t incarnation; /* of the worker; 0: not known yet */
     uint64_t fence;
-    uint64_t unknown_lease_until_ms; /* a lease of unknown length may last
-                                        until then */
-    uint64_t incarnation_seen_ms;    /* when we learned it */
-    uint64_t worker_clock_ms;        /* the worker's */
-    uint64_t worker_clock_at_ms;     /* ours, when it came */
-    uint64_t lease_expiry_ms; /* the worker holds nothing of ours after it */
-    uint64_t ack;
-    uint64_t ack_sent; /* in the look under way */
-    uint64_t ack_confirmed;
-    uint64_t poll_ms;      /* when the look under way was asked; 0: none */
-    uint64_t last_poll_ms; /* when the last look was asked */
-    uint32_t polls_failed; /* in a row */
-    bool silent;           /* the worker did not answer lately */
+    /* After a restart of the worker, a lease of unknown length may last until
+     * then; 0: none. */
+    uint64_t unknown_lease_until_ms;
+    uint64_t incarnation_seen_ms; /* when it replaced another one */
+    uint64_t worker_clock_ms;     /* as last reported; 0: not known */
+    uint64_t worker_clock_at_ms;  /* our clock when that report arrived */
+    uint64_t lease_expiry_ms; /* the worker runs nothing of ours after it */
+    uint64_t ack;             /* highest outcome processed */
+    uint64_t ack_sent;        /* in the pending poll */
+    uint64_t ack_confirmed;   /* in the last poll that was answered */
+    uint64_t poll_ms;         /* when the pending poll was sent; 0: none */
+    uint64_t last_poll_ms;    /* when the last poll was sent */
+    uint32_t polls_failed;    /* in a row */
+    bool silent;              /* no answer lately; gets no starts */
     bool immediate_pending;
-    struct rn_key recent[RN_RECENT_MAX];
+    struct rn_key recent[RN_RECENT_MAX]; /* ring of ended runs */
     size_t recent_next;
-    size_t orphans; /* runs of an earlier agent, as last shown */
-    bool leaving;   /* this agent ends: start nothing more */
+    size_t orphans; /* running there but not known here, at the last poll */
+    bool leaving;   /* this agent shuts down: start nothing more */
     uint64_t capacity_changed_ms;
-    bool polled;             /* a look has succeeded */
-    bool clean;              /* nothing of an earlier agent runs there */
-    uint32_t speed_permille; /* usual; 1000: runs end as estimated */
-    uint32_t pace_permille;  /* at present */
-    uint32_t fail_permille;  /* of runs that ended lately */
-    uint64_t work_est_us;    /* seen since it was learned last */
-    uint64_t work_elapsed_ms;
+    bool polled; /* a poll of the present incarnation has succeeded */
+    bool clean;  /* no run of an earlier agent is left on the worker */
+    uint32_t speed_permille;  /* long-term; 1000: runs end as estimated */
+    uint32_t pace_permille;   /* short-term, same unit */
+    uint32_t fail_permille;   /* moving average of failed runs */
+    uint64_t work_est_us;     /* progress since the last poll, as estimated */
+    uint64_t work_elapsed_ms; /* time that this progress took */
     struct rn_stats stats;
 };
 
@@ -228,35 +246,46 @@
 void rn_free(struct runner *r);
 
 /* Orders of an entry. */
+/* Starts a run at once, or reports it as DW_END_FULL if it does not fit.  An
+ * order that is known already changes nothing. */
 void rn_order(struct runner *r, uint64_t now, uint64_t entry, uint64_t session,
-    const dw_run_group *group, const dw_run *run);
+    const dw_run_group *group, const dw_run *order);
+/* Stops a run, if it is known here. */
 void rn_stop(struct runner *r, uint64_t now, const dw_run_ref *ref);
-/* A session has ended: nothing of it may run on. */
+/* Stops all runs of a session. */
 void rn_session_ended(struct runner *r, uint64_t now, uint64_t session);
 
-/* What the worker said. */
+/* Reports of the worker. */
+/* Capacity announced by the worker, total or free: the largest values of an
+ * incarnation count as its total.  A newer incarnation means a restart. */
 void rn_set_capacity(struct runner *r, uint64_t now, uint32_t millicores,
-    uint32_t memory_mb, uint32_t gpus, uint64_t born_ms);
+    uint32_t memory_mb, uint32_t gpus, uint64_t incarnation);
+/* A draining worker gets no starts; if it also leaves, it exits in left_ms. */
 void rn_set_draining(struct runner *r, uint64_t now, bool draining,
     bool leaves, uint64_t left_ms);
-/* This agent is about to end: what waits goes back. */
+/* This agent shuts down: refuses queued runs and starts nothing more. */
 void rn_leave(struct runner *r, uint64_t now);
+/* clock_ms is the worker's clock, 0 if not known. */
 void rn_start_answered(struct runner *r, uint64_t now,
     const struct rn_key *key, enum rn_start_result result, uint64_t clock_ms);
 void rn_stop_answered(
     struct runner *r, uint64_t now, const struct rn_key *key, bool answered);
 void rn_poll_answered(
-    struct runner *r, uint64_t now, const struct rn_poll *look);
+    struct runner *r, uint64_t now, const struct rn_poll *poll);
+/* Sends what is due: polls, repeated stops, starts; call every few ms. */
 void rn_tick(struct runner *r, uint64_t now);
 
 /* Queries. */
+/* The worker takes starts. */
 bool rn_serving(const struct runner *r);
-/* The worker has been told of every end that was taken. */
+/* The worker has received the acknowledgement of every outcome. */
 bool rn_outcomes_acked(const struct runner *r);
+/* Runs that hold resources: all but queued ones. */
 size_t rn_active_count(const struct runner *r);
 /* Runs of an entry's earlier sessions. */
 size_t rn_leftover_count(
     const struct runner *r, uint64_t entry, uint64_t session);
+/* Fills in total and free capacity, queued runs deducted, and speeds. */
 void rn_get_capacity(const struct runner *r, uint64_t now, dw_room *room);
 
 #ifdef __cplusplus
--- a/test/runner-test.cc
+++ b/test/runner-test.cc
@@ -1,4 +1,4 @@
-/* An agent's account of its worker, step by step. */
+/* An agent's account of the runs on its worker. */
 #include <gtest/gtest.h>
 
 #include <string>
@@ -8,73 +8,74 @@
 
 namespace {
 
-struct Told {
+struct Recorder {
     std::vector<rn_key> starts;
     std::vector<rn_key> stops;
-    std::vector<rn_terms> looks;
-    std::vector<std::pair<rn_key, dw_end>> ends;
+    std::vector<rn_terms> polls;
+    std::vector<std::pair<rn_key, dw_end>> outcomes;
     uint64_t fence = 0;
 };
 
 void
-told_start(void *ctx, const rn_run *r, const rn_terms *t)
+record_start(void *ctx, const rn_run *r, const rn_terms *t)
 {
-    static_cast<Told *>(ctx)->starts.push_back(r->key);
-    static_cast<Told *>(ctx)->fence = t->fence;
+    static_cast<Recorder *>(ctx)->starts.push_back(r->key);
+    static_cast<Recorder *>(ctx)->fence = t->fence;
 }
 
 void
-told_stop(void *ctx, const rn_key *k, const rn_terms *)
+record_stop(void *ctx, const rn_key *k, const rn_terms *)
 {
-    static_cast<Told *>(ctx)->stops.push_back(*k);
+    static_cast<Recorder *>(ctx)->stops.push_back(*k);
 }
 
 void
-told_look(void *ctx, const rn_poll_request *, const rn_terms *t)
+record_poll(void *ctx, const rn_poll_request *, const rn_terms *t)
 {
-    static_cast<Told *>(ctx)->looks.push_back(*t);
+    static_cast<Recorder *>(ctx)->polls.push_back(*t);
 }
 
 void
-told_ended(void *ctx, const rn_run *r, dw_end how, uint32_t)
+record_outcome(void *ctx, const rn_run *r, dw_end outcome, uint32_t)
 {
-    static_cast<Told *>(ctx)->ends.push_back({r->key, how});
+    static_cast<Recorder *>(ctx)->outcomes.push_back({r->key, outcome});
 }
 
-const rn_ops told_ops = {told_start, told_stop, told_look, told_ended};
+const rn_ops recorder_ops = {
+    record_start, record_stop, record_poll, record_outcome};
 
-/* A runner whose worker of 10 cores has been looked at. */
-struct Agent {
+/* A runner whose worker has 10 cores and has answered a poll. */
+struct Fixture {
     runner r;
-    Told told;
+    Recorder sent;
     uint64_t now = 5000;
 
-    Agent()
+    Fixture()
     {
-        rn_init(&r, now, &told_ops, &told);
-        look({}, {});
+        rn_init(&r, now, &recorder_ops, &sent);
+        poll({}, {});
         rn_set_capacity(&r, now, 10000, 1000, 0, 77);
     }
-    ~Agent()
+    ~Fixture()
     {
         rn_free(&r);
     }
     void
-    look(std::vector<rn_poll_run> running, std::vector<rn_outcome> ends,
-        uint64_t born = 77)
+    poll(std::vector<rn_poll_run> running, std::vector<rn_outcome> outcomes,
+        uint64_t incarnation = 77)
     {
-        rn_poll l = {};
-
-        l.sent_ms = now;
-        l.ok = true;
-        l.worker_clock_ms = now;
-        l.incarnation = born;
-        l.running = running.data();
-        l.running_count = running.size();
-        l.outcomes = ends.data();
-        l.outcome_count = ends.size();
+        rn_poll p = {};
+
+        p.sent_ms = now;
+        p.ok = true;
+        p.worker_clock_ms = now;
+        p.incarnation = incarnation;
+        p.running = running.data();
+        p.running_count = running.size();
+        p.outcomes = outcomes.data();
+        p.outcome_count = outcomes.size();
         now++;
-        rn_poll_answered(&r, now, &l);
+        rn_poll_answered(&r, now, &p);
     }
     void
     order(uint64_t job, uint32_t millicores, uint64_t session = 1)
@@ -98,7 +99,7 @@
         rn_start_answered(&r, now, &k, result, now);
     }
     dw_room
-    room()
+    capacity()
     {
         dw_room out;
 
@@ -109,88 +110,89 @@
 
 } // namespace
 
-TEST(Runner, NeverOverCapacityWhatIsBeingStoppedIncluded)
+TEST(Runner, CapacityIsNeverExceededAndStoppingRunsCount)
 {
-    Agent a;
+    Fixture a;
     dw_run_ref ref = {1, 0, 1};
 
     a.order(1, 6000);
     a.started(1, RN_START_OK);
     a.order(2, 6000);
-    EXPECT_EQ(a.told.starts.size(), 1u);
-    ASSERT_EQ(a.told.ends.size(), 1u);
-    EXPECT_EQ(a.told.ends[0].second, DW_END_FULL);
-    EXPECT_EQ(a.room().free_millicores, 4000);
+    EXPECT_EQ(a.sent.starts.size(), 1u);
+    ASSERT_EQ(a.sent.outcomes.size(), 1u);
+    EXPECT_EQ(a.sent.outcomes[0].second, DW_END_FULL);
+    EXPECT_EQ(a.capacity().free_millicores, 4000);
     rn_stop(&a.r, a.now, &ref);
-    EXPECT_EQ(a.told.stops.size(), 1u);
+    EXPECT_EQ(a.sent.stops.size(), 1u);
     a.order(3, 6000);
-    EXPECT_EQ(a.told.starts.size(), 1u);
-    EXPECT_EQ(a.room().free_millicores, 4000);
-    a.look({}, {{1, {1, 1, 0}, DW_END_STOPPED}});
-    EXPECT_EQ(a.room().free_millicores, 10000);
+    EXPECT_EQ(a.sent.starts.size(), 1u);
+    EXPECT_EQ(a.capacity().free_millicores, 4000);
+    a.poll({}, {{1, {1, 1, 0}, DW_END_STOPPED}});
+    EXPECT_EQ(a.capacity().free_millicores, 10000);
     a.order(4, 6000);
-    EXPECT_EQ(a.told.starts.size(), 2u);
+    EXPECT_EQ(a.sent.starts.size(), 2u);
 }
 
-/* A task runs twice: the answer to its start was lost, the agent said it had
- * not run, and the order arrived late.  Only a stop that the worker answered
- * makes it refuse the late one. */
-TEST(Runner, ALostStartIsSettledByLookAndStop)
+/* Guards against a task that runs twice: the answer to its start is lost, the
+ * agent reports it as not run, and the start arrives late.  The worker refuses
+ * the late start only after it has answered a stop. */
+TEST(Runner, LostStartIsResolvedByPollAndStop)
 {
-    Agent a;
+    Fixture a;
     rn_key k = {1, 1, 0};
 
     a.order(1, 1000);
     a.now += RN_ANSWER_TIMEOUT_MS;
     a.started(1, RN_START_LOST);
-    EXPECT_TRUE(a.told.ends.empty());
+    EXPECT_TRUE(a.sent.outcomes.empty());
     a.now += 2;
-    a.look({}, {});
-    ASSERT_EQ(a.told.stops.size(), 1u);
-    EXPECT_TRUE(a.told.ends.empty());
+    a.poll({}, {});
+    ASSERT_EQ(a.sent.stops.size(), 1u);
+    EXPECT_TRUE(a.sent.outcomes.empty());
     rn_stop_answered(&a.r, a.now, &k, true);
-    EXPECT_TRUE(a.told.ends.empty());
+    EXPECT_TRUE(a.sent.outcomes.empty());
     a.now += 2;
-    a.look({}, {});
-    ASSERT_EQ(a.told.ends.size(), 1u);
-    EXPECT_EQ(a.told.ends[0].second, DW_END_NOT_RUN);
+    a.poll({}, {});
+    ASSERT_EQ(a.sent.outcomes.size(), 1u);
+    EXPECT_EQ(a.sent.outcomes[0].second, DW_END_NOT_RUN);
 }
 
-TEST(Runner, AStartWhoseAnswerAloneWasLostGoesOn)
+TEST(Runner, StartedRunContinuesWhenOnlyTheAnswerIsLost)
 {
-    Agent a;
+    Fixture a;
 
     a.order(1, 1000);
     a.now += RN_ANSWER_TIMEOUT_MS;
     a.started(1, RN_START_LOST);
     a.now += 2;
-    a.look({{{1, 1, 0}, 30}}, {});
-    EXPECT_TRUE(a.told.stops.empty());
-    a.look({}, {{1, {1, 1, 0}, DW_END_DONE}});
-    ASSERT_EQ(a.told.ends.size(), 1u);
-    EXPECT_EQ(a.told.ends[0].second, DW_END_DONE);
+    a.poll({{{1, 1, 0}, 30}}, {});
+    EXPECT_TRUE(a.sent.stops.empty());
+    a.poll({}, {{1, {1, 1, 0}, DW_END_DONE}});
+    ASSERT_EQ(a.sent.outcomes.size(), 1u);
+    EXPECT_EQ(a.sent.outcomes[0].second, DW_END_DONE);
 }
 
-/* All tasks go to the one worker that is dead: refused in a millisecond, it
- * looks like the freest.  After a refused connection it is told as silent. */
-TEST(Runner, AWorkerThatIsNotReachedTakesNothing)
+/* Guards against a dead worker that attracts all tasks, as it fails starts in
+ * a millisecond and so seems free.  After a failed connection the agent must
+ * report it as not serving. */
+TEST(Runner, UnreachableWorkerGetsNoStarts)
 {
-    Agent a;
+    Fixture a;
 
-    EXPECT_TRUE(a.room().serving);
+    EXPECT_TRUE(a.capacity().serving);
     a.order(1, 1000);
     a.started(1, RN_START_UNREACHABLE);
-    EXPECT_EQ(a.told.ends[0].second, DW_END_NOT_RUN);
-    EXPECT_FALSE(a.room().serving);
-    a.look({}, {});
-    EXPECT_TRUE(a.room().serving);
+    EXPECT_EQ(a.sent.outcomes[0].second, DW_END_NOT_RUN);
+    EXPECT_FALSE(a.capacity().serving);
+    a.poll({}, {});
+    EXPECT_TRUE(a.capacity().serving);
 }
 
-/* A run goes on beside its successor: its session ended, the stop was lost,
- * and the lease was renewed for the other runs. */
-TEST(Runner, NoRenewalWhileARunOfAnEndedSessionMayLive)
+/* Guards against a run that continues beside its successor: its session has
+ * ended, the stop was lost, and the lease is renewed for other runs. */
+TEST(Runner, LeaseIsNotRenewedWhileARunOfAnEndedSessionMayRun)
 {
-    Agent a;
+    Fixture a;
 
     a.order(1, 1000, 1);
     a.started(1, RN_START_OK);
@@ -198,98 +200,99 @@
     a.started(2, RN_START_OK);
     rn_session_ended(&a.r, a.now, 1);
     a.now += RN_STOP_LIMIT_MS + 1;
-    a.look({{{1, 1, 0}, 5}, {{2, 1, 0}, 5}}, {});
-    ASSERT_FALSE(a.told.looks.empty());
-    EXPECT_EQ(a.told.looks.back().lease_until_ms, 0u);
-    a.look({{{2, 1, 0}, 5}}, {{1, {1, 1, 0}, DW_END_STOPPED}});
-    EXPECT_NE(a.told.looks.back().lease_until_ms, 0u);
+    a.poll({{{1, 1, 0}, 5}, {{2, 1, 0}, 5}}, {});
+    ASSERT_FALSE(a.sent.polls.empty());
+    EXPECT_EQ(a.sent.polls.back().lease_until_ms, 0u);
+    a.poll({{{2, 1, 0}, 5}}, {{1, {1, 1, 0}, DW_END_STOPPED}});
+    EXPECT_NE(a.sent.polls.back().lease_until_ms, 0u);
 }
 
-/* A worker that starts anew under the same id: an order of the life before
- * carried out late would run beside its successor. */
-TEST(Runner, RebirthRaisesTheFenceAndWaitsOutTheLongestLease)
+/* Guards against a start meant for a former incarnation of the worker that
+ * arrives late and runs beside the task's next run. */
+TEST(Runner, WorkerRestartRaisesTheFenceAndWaitsForTheLongestLease)
 {
-    Agent a;
+    Fixture a;
 
     a.order(1, 1000);
     a.started(1, RN_START_OK);
-    uint64_t fence = a.told.fence;
-    a.look({}, {}, 99);
-    EXPECT_FALSE(a.room().serving);
+    uint64_t fence = a.sent.fence;
+    a.poll({}, {}, 99);
+    EXPECT_FALSE(a.capacity().serving);
     rn_set_capacity(&a.r, a.now, 10000, 1000, 0, 99);
     a.now += 5;
-    a.look({}, {}, 99);
-    EXPECT_EQ(a.told.ends.size(), 1u);
-    EXPECT_FALSE(a.room().serving);
+    a.poll({}, {}, 99);
+    EXPECT_EQ(a.sent.outcomes.size(), 1u);
+    EXPECT_FALSE(a.capacity().serving);
     a.now += RN_LEASE_MAX_MS + 1;
     rn_tick(&a.r, a.now);
-    EXPECT_TRUE(a.room().serving);
+    EXPECT_TRUE(a.capacity().serving);
     a.order(2, 1000);
-    EXPECT_GT(a.told.fence, fence);
+    EXPECT_GT(a.sent.fence, fence);
 }
 
-/* Runs of an agent that died are on the worker, of a size that its successor
- * does not know: nothing starts beside them. */
+/* Runs of a dead agent are still on the worker.  The new agent does not know
+ * their size, so it starts nothing beside them. */
 TEST(Runner, RunsOfAnEarlierAgentAreStoppedFirst)
 {
-    Told told;
+    Recorder sent;
     runner r;
-    rn_poll l = {};
+    rn_poll p = {};
     rn_poll_run foreign = {{5, 5, 0}, 10};
     dw_room room;
 
-    rn_init(&r, 100, &told_ops, &told);
-    l.sent_ms = 100;
-    l.ok = true;
-    l.worker_clock_ms = 9;
-    l.incarnation = 77;
-    l.running = &foreign;
-    l.running_count = 1;
-    rn_poll_answered(&r, 101, &l);
+    rn_init(&r, 100, &recorder_ops, &sent);
+    p.sent_ms = 100;
+    p.ok = true;
+    p.worker_clock_ms = 9;
+    p.incarnation = 77;
+    p.running = &foreign;
+    p.running_count = 1;
+    rn_poll_answered(&r, 101, &p);
     rn_set_capacity(&r, 101, 10000, 1000, 0, 77);
     rn_get_capacity(&r, 102, &room);
     EXPECT_FALSE(room.serving);
-    ASSERT_EQ(told.stops.size(), 1u);
-    l.sent_ms = 150;
-    l.running_count = 0;
-    rn_poll_answered(&r, 151, &l);
+    ASSERT_EQ(sent.stops.size(), 1u);
+    p.sent_ms = 150;
+    p.running_count = 0;
+    rn_poll_answered(&r, 151, &p);
     rn_get_capacity(&r, 152, &room);
     EXPECT_TRUE(room.serving);
     rn_free(&r);
 }
 
-TEST(Runner, ADrainingWorkerFinishesAndTakesNothing)
+TEST(Runner, DrainingWorkerFinishesRunsAndGetsNoStarts)
 {
-    Agent a;
+    Fixture a;
 
     a.order(1, 1000);
     a.started(1, RN_START_OK);
     rn_set_draining(&a.r, a.now, true, true, 2000);
     a.order(2, 1000);
-    EXPECT_EQ(a.told.starts.size(), 1u);
-    ASSERT_EQ(a.told.ends.size(), 1u);
-    EXPECT_EQ(a.told.ends[0].second, DW_END_FULL);
-    EXPECT_TRUE(a.room().draining);
-    a.look({}, {{1, {1, 1, 0}, DW_END_DONE}});
-    EXPECT_EQ(a.told.ends.size(), 2u);
+    EXPECT_EQ(a.sent.starts.size(), 1u);
+    ASSERT_EQ(a.sent.outcomes.size(), 1u);
+    EXPECT_EQ(a.sent.outcomes[0].second, DW_END_FULL);
+    EXPECT_TRUE(a.capacity().draining);
+    a.poll({}, {{1, {1, 1, 0}, DW_END_DONE}});
+    EXPECT_EQ(a.sent.outcomes.size(), 2u);
 }
 
-/* Guards against a failing worker that each entry must find out about by its
- * own tasks' attempts, and against a new life that is blamed for the last. */
-TEST(Runner, TheShareOfFailedRunsIsToldAndForgottenAtRebirth)
+/* Guards against a failing worker that every entry must detect by attempts of
+ * its own tasks, and against blaming a restarted worker for failures of its
+ * former incarnation. */
+TEST(Runner, FailureAverageIsReportedAndResetByAWorkerRestart)
 {
-    Agent a;
+    Fixture a;
 
     for (uint64_t job = 1; job <= 20; job++) {
         a.order(job, 1000);
         a.started(job, RN_START_OK);
-        a.look({}, {{job, {job, 1, 0}, DW_END_FAILED}});
+        a.poll({}, {{job, {job, 1, 0}, DW_END_FAILED}});
     }
-    EXPECT_GT(a.room().fail_permille, 800u);
+    EXPECT_GT(a.capacity().fail_permille, 800u);
     a.order(21, 1000);
     a.started(21, RN_START_OK);
-    a.look({}, {{21, {21, 1, 0}, DW_END_DONE}});
-    EXPECT_LT(a.room().fail_permille, 900u);
-    a.look({}, {}, 78);
-    EXPECT_EQ(a.room().fail_permille, 0u);
+    a.poll({}, {{21, {21, 1, 0}, DW_END_DONE}});
+    EXPECT_LT(a.capacity().fail_permille, 900u);
+    a.poll({}, {}, 78);
+    EXPECT_EQ(a.capacity().fail_permille, 0u);
 }
