--- a/act.c
+++ b/act.c
@@ -100,10 +100,10 @@
 }
 
 void
-act_note(
+act_submission_event(
     struct acts *as, struct str customer, struct str key, const char *fmt, ...)
 {
-    struct act *a = append(as, ACT_NOTE);
+    struct act *a = append(as, ACT_EVENT);
     struct buf b = {0};
     char line[256];
     va_list ap;
@@ -120,7 +120,7 @@
 void
 act_event(struct acts *as, const char *fmt, ...)
 {
-    struct act *a = append(as, ACT_NOTE);
+    struct act *a = append(as, ACT_EVENT);
     char line[256];
     va_list ap;
 
--- a/act.h
+++ b/act.h
@@ -25,7 +25,7 @@
     ACT_ANSWER, /* give msg (an answer) to the waiting caller `ref` */
     ACT_TXN,    /* try txn `ref` on the store */
     ACT_READ,   /* read the store; `ref` is an enum act_read */
-    ACT_NOTE    /* keep `text` for explain */
+    ACT_EVENT   /* keep `text` for explain */
 };
 
 enum act_read {
@@ -85,7 +85,7 @@
 void act_answer(struct acts *as, uint64_t request, dw_answer *answer);
 void act_ref(struct acts *as, enum act_kind kind, uint64_t ref);
 struct txn *act_txn(struct acts *as, uint64_t ref);
-void act_note(struct acts *as, struct str customer, struct str key,
+void act_submission_event(struct acts *as, struct str customer, struct str key,
     const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 
 /* An event worth a line in the log, of no one submission. */
--- a/agent.c
+++ b/agent.c
@@ -32,14 +32,15 @@
 }
 
 static void
-do_ended(void *ctx, const struct rn_run *run, dw_end how, uint32_t ran_ms)
+collect_outcome(
+    void *ctx, const struct rn_run *run, dw_end how, uint32_t ran_ms)
 {
     struct agent *a = ctx;
     struct ag_entry *e = find_entry(a, run->entry, false);
     dw_report *r;
     dw_run_end *end;
 
-    a->ops->note_end(a->ctx, run, how, ran_ms);
+    a->ops->run_ended(a->ctx, run, how, ran_ms);
     if (e == NULL || !e->open || e->sess.number != run->session) {
         return;
     }
@@ -63,43 +64,43 @@
 /* It was shown room that it wanted and has not used it: its tasks may not fit
  * or be gone. */
 static bool
-is_idle(const struct ag_entry *e, uint64_t now)
+is_offer_unused(const struct ag_entry *e, uint64_t now)
 {
-    return e->shown_ms != 0 && now - e->shown_ms > AG_SHOWN_MS;
+    return e->offered_ms != 0 && now - e->offered_ms > AG_OFFER_MS;
 }
 
 /* Whether x is to have room before e, and how much. */
 static uint64_t
-claim_before(const struct ag_entry *x, const struct ag_entry *e, uint64_t now,
+claim_ahead(const struct ag_entry *x, const struct ag_entry *e, uint64_t now,
     int64_t free_millicores)
 {
     bool first;
 
-    if (x == e || !x->open || is_idle(x, now) ||
-        free_millicores < (int64_t)x->want.least) {
+    if (x == e || !x->open || is_offer_unused(x, now) ||
+        free_millicores < (int64_t)x->demand.least) {
         return 0;
     }
-    if (x->want.urgent > 0) {
-        first = x->want.urgent > e->want.urgent ||
-                (x->want.urgent == e->want.urgent && x->id < e->id);
-        return first ? x->want.urgent : 0;
+    if (x->demand.urgent > 0) {
+        first = x->demand.urgent > e->demand.urgent ||
+                (x->demand.urgent == e->demand.urgent && x->id < e->id);
+        return first ? x->demand.urgent : 0;
     }
-    first = e->want.urgent == 0 &&
-            (x->want.late > e->want.late ||
-                (x->want.late == e->want.late && x->id < e->id));
-    return first ? x->want.late : 0;
+    first = e->demand.urgent == 0 &&
+            (x->demand.late > e->demand.late ||
+                (x->demand.late == e->demand.late && x->id < e->id));
+    return first ? x->demand.late : 0;
 }
 
 /* What of the free cores entry e may use. */
 static int64_t
-share_of(const struct agent *a, const struct ag_entry *e, uint64_t now,
+capacity_share(const struct agent *a, const struct ag_entry *e, uint64_t now,
     int64_t free_millicores)
 {
     const struct ag_entry *x;
     uint64_t before = 0;
 
     for (x = a->entries; x != NULL; x = x->hh.next) {
-        before += claim_before(x, e, now, free_millicores);
+        before += claim_ahead(x, e, now, free_millicores);
     }
     if (free_millicores <= 0 || before == 0) {
         return free_millicores;
@@ -108,13 +109,13 @@
 }
 
 static bool
-wants(const struct ag_entry *e)
+has_demand(const struct ag_entry *e)
 {
-    return e->want.urgent > 0 || e->want.late > 0;
+    return e->demand.urgent > 0 || e->demand.late > 0;
 }
 
 static int64_t
-free_now(const struct agent *a, uint64_t now)
+current_free(const struct agent *a, uint64_t now)
 {
     dw_room room;
 
@@ -124,31 +125,31 @@
 
 /* It wants room, and there now is some for it that it has not been told of. */
 static bool
-must_hear(const struct agent *a, const struct ag_entry *e, uint64_t now,
+must_notify(const struct agent *a, const struct ag_entry *e, uint64_t now,
     int64_t free_millicores)
 {
     int64_t share;
 
-    if (!wants(e) || free_millicores < (int64_t)e->want.least) {
+    if (!has_demand(e) || free_millicores < (int64_t)e->demand.least) {
         return false;
     }
-    share = share_of(a, e, now, free_millicores);
-    return share >= (int64_t)e->want.least && share > e->told_millicores;
+    share = capacity_share(a, e, now, free_millicores);
+    return share >= (int64_t)e->demand.least && share > e->reported_millicores;
 }
 
 static void
-note_shown(struct ag_entry *e, uint64_t now, int64_t free_millicores)
+record_offer(struct ag_entry *e, uint64_t now, int64_t free_millicores)
 {
-    bool enough =
-        wants(e) && free_millicores >= (int64_t)num_max(e->want.least, 1);
+    bool enough = has_demand(e) &&
+                  free_millicores >= (int64_t)num_max(e->demand.least, 1);
 
     if (!enough) {
-        e->shown_ms = 0;
+        e->offered_ms = 0;
     }
-    else if (e->shown_ms == 0 || free_millicores > e->told_millicores) {
-        e->shown_ms = now;
+    else if (e->offered_ms == 0 || free_millicores > e->reported_millicores) {
+        e->offered_ms = now;
     }
-    e->told_millicores = free_millicores;
+    e->reported_millicores = free_millicores;
 }
 
 static void
@@ -158,15 +159,15 @@
                rn_leftover_count(&a->runner, e->id, e->sess.number) == 0;
     rn_get_capacity(&a->runner, now, &r->room);
     r->room.free_millicores =
-        (int)share_of(a, e, now, r->room.free_millicores);
-    note_shown(e, now, r->room.free_millicores);
+        (int)capacity_share(a, e, now, r->room.free_millicores);
+    record_offer(e, now, r->room.free_millicores);
     if (a->leaving) {
         r->room.serving = false;
     }
 }
 
 static void
-send_beat(struct agent *a, uint64_t now, struct ag_entry *e)
+send_heartbeat(struct agent *a, uint64_t now, struct ag_entry *e)
 {
     dw_msg m;
 
@@ -178,7 +179,7 @@
 }
 
 static void
-send_batch(struct agent *a, uint64_t now, struct ag_entry *e)
+send_outcomes(struct agent *a, uint64_t now, struct ag_entry *e)
 {
     dw_msg *m = e->batch;
 
@@ -204,7 +205,7 @@
 /* --- the worker's calls go on to whoever carries them out --- */
 
 static void
-do_start(void *ctx, const struct rn_run *run, const struct rn_terms *terms)
+worker_start(void *ctx, const struct rn_run *run, const struct rn_terms *terms)
 {
     struct agent *a = ctx;
 
@@ -212,7 +213,7 @@
 }
 
 static void
-do_stop(void *ctx, const struct rn_key *key, const struct rn_terms *terms)
+worker_stop(void *ctx, const struct rn_key *key, const struct rn_terms *terms)
 {
     struct agent *a = ctx;
 
@@ -220,7 +221,7 @@
 }
 
 static void
-do_look(
+worker_poll(
     void *ctx, const struct rn_poll_request *ask, const struct rn_terms *terms)
 {
     struct agent *a = ctx;
@@ -228,7 +229,8 @@
     a->ops->worker.poll(a->ctx, ask, terms);
 }
 
-static const struct rn_ops worker_ops = {do_start, do_stop, do_look, do_ended};
+static const struct rn_ops worker_ops = {
+    worker_start, worker_stop, worker_poll, collect_outcome};
 
 /* --- sessions --- */
 
@@ -241,7 +243,7 @@
         a->open_count--;
     }
     e->open = false;
-    e->ended_ms = now;
+    e->closed_ms = now;
     msg_free(e->batch);
     e->batch = NULL;
     sess_end(&e->sess);
@@ -256,17 +258,17 @@
         end_session(a, now, e);
     }
     sess_begin(&e->sess, head->session);
-    e->newest = head->session;
-    e->want = (dw_want){0, 0, 0, 0};
-    e->told_millicores = 0;
-    e->shown_ms = 0;
-    e->begun_ms = now;
+    e->newest_session = head->session;
+    e->demand = (dw_want){0, 0, 0, 0};
+    e->reported_millicores = 0;
+    e->offered_ms = 0;
+    e->opened_ms = now;
     e->open = true;
     a->open_count++;
 }
 
 static void
-take_orders(
+execute_orders(
     struct agent *a, uint64_t now, struct ag_entry *e, const dw_orders *o)
 {
     for (u_int i = 0; i < o->stops.stops_len; i++) {
@@ -283,63 +285,65 @@
 }
 
 void
-ag_orders(struct agent *a, uint64_t now, uint64_t from, const dw_orders *o)
+ag_handle_orders(
+    struct agent *a, uint64_t now, uint64_t from, const dw_orders *o)
 {
     struct ag_entry *e = find_entry(a, from, true);
     enum sess_verdict v;
 
-    if (o->head.session > e->newest) {
+    if (o->head.session > e->newest_session) {
         begin_session(a, now, e, &o->head);
     }
     v = sess_take(&e->sess, now, &o->head);
     if (v != SESS_DROP) {
-        e->want = o->want;
+        e->demand = o->want;
     }
     if (v == SESS_TAKE) {
         if (o->groups.groups_len > 0) {
-            e->shown_ms = 0;
+            e->offered_ms = 0;
         }
-        take_orders(a, now, e, o);
+        execute_orders(a, now, e, o);
         a->runner.capacity_changed_ms = now;
     }
     else if (e->open && e->sess.fresh_ms == 0) {
-        send_beat(a, now, e); /* so that the other learns our clock */
+        send_heartbeat(a, now, e); /* so that the other learns our clock */
     }
 }
 
 void
-ag_refused(struct agent *a, uint64_t now, uint64_t id)
+ag_entry_dead(struct agent *a, uint64_t now, uint64_t id)
 {
     struct ag_entry *e = find_entry(a, id, false);
 
     if (e != NULL && e->open) {
-        a->ops->note_session(a->ctx, id, "entry_dead", 0);
+        a->ops->session_event(a->ctx, id, "entry_dead", 0);
         end_session(a, now, e);
     }
 }
 
 /* When the entry was certainly alive last. */
 static uint64_t
-heard(const struct ag_entry *e)
+last_alive(const struct ag_entry *e)
 {
-    return e->sess.fresh_ms != 0 ? e->sess.fresh_ms : e->begun_ms;
+    return e->sess.fresh_ms != 0 ? e->sess.fresh_ms : e->opened_ms;
 }
 
 static void
-tend_entry(struct agent *a, uint64_t now, struct ag_entry *e)
+check_entry(struct agent *a, uint64_t now, struct ag_entry *e)
 {
     if (!e->open) {
         return;
     }
-    if (now - heard(e) >= SESS_LEASE_MS) {
-        a->ops->note_session(a->ctx, e->id, "session_over", now - heard(e));
+    if (now - last_alive(e) >= SESS_LEASE_MS) {
+        a->ops->session_event(
+            a->ctx, e->id, "session_over", now - last_alive(e));
         end_session(a, now, e);
         a->ops->reconnect(a->ctx, e->id);
         return;
     }
     resend(a, now, e);
     if (sess_beat_due(&e->sess, now)) {
-        send_beat(a, now, e);
+        send_heartbeat(a, now, e);
     }
 }
 
@@ -350,8 +354,8 @@
     struct ag_entry *tmp;
 
     HASH_ITER (hh, a->entries, e, tmp) {
-        tend_entry(a, now, e);
-        if (!e->open && now - e->ended_ms > AG_FORGET_MS) {
+        check_entry(a, now, e);
+        if (!e->open && now - e->closed_ms > AG_FORGET_MS) {
             free_entry(a, e);
         }
     }
@@ -361,24 +365,24 @@
 /* An entry that is behind gets the ends of some ms in one report, as it would
  * not read them sooner one by one. */
 static bool
-may_report(const struct ag_entry *e, uint64_t now)
+outcomes_due(const struct ag_entry *e, uint64_t now)
 {
-    return now - e->sess.sent_ms >= e->want.pause_ms / AG_ENDS_PART;
+    return now - e->sess.sent_ms >= e->demand.pause_ms / AG_OUTCOMES_DIVISOR;
 }
 
 /* Where much is free, changes of it decide little. */
 static bool
 is_scarce(const struct agent *a, int64_t free_millicores)
 {
-    return free_millicores * AG_AMPLE_PART < (int64_t)a->runner.millicores;
+    return free_millicores * AG_AMPLE_DIVISOR < (int64_t)a->runner.millicores;
 }
 
 void
 ag_flush(struct agent *a, uint64_t now)
 {
-    int64_t free_millicores = free_now(a, now);
+    int64_t free_millicores = current_free(a, now);
     uint32_t pause = is_scarce(a, free_millicores)
-                         ? AG_ROOM_MS_PER_ENTRY * a->open_count
+                         ? AG_CAPACITY_MS_PER_ENTRY * a->open_count
                          : SESS_BEAT_MS;
     struct ag_entry *e;
 
@@ -387,15 +391,15 @@
             continue;
         }
         if (e->batch != NULL) {
-            if (may_report(e, now)) {
-                send_batch(a, now, e);
+            if (outcomes_due(e, now)) {
+                send_outcomes(a, now, e);
             }
         }
-        else if (must_hear(a, e, now, free_millicores) ||
+        else if (must_notify(a, e, now, free_millicores) ||
                  (a->runner.capacity_changed_ms >= e->sess.sent_ms &&
                      now - e->sess.sent_ms >=
-                         num_max(pause, e->want.pause_ms))) {
-            send_beat(a, now, e);
+                         num_max(pause, e->demand.pause_ms))) {
+            send_heartbeat(a, now, e);
         }
     }
 }
@@ -409,7 +413,7 @@
     rn_leave(&a->runner, now);
     for (e = a->entries; e != NULL; e = e->hh.next) {
         if (e->open) {
-            send_beat(a, now, e);
+            send_heartbeat(a, now, e);
         }
     }
 }
@@ -432,7 +436,7 @@
 }
 
 size_t
-ag_entries(const struct agent *a)
+ag_entry_count(const struct agent *a)
 {
     return HASH_COUNT(a->entries);
 }
--- a/agent.h
+++ b/agent.h
@@ -32,32 +32,33 @@
 
 /* ms between reports to one entry that only tell a changed room, for each
  * entry there is: what all entries cost stays the same. */
-#define AG_ROOM_MS_PER_ENTRY 5U
+#define AG_CAPACITY_MS_PER_ENTRY 5U
 /* From this part of the cores free on, room is told with the next beat. */
-#define AG_AMPLE_PART 3
+#define AG_AMPLE_DIVISOR 3
 /* Ends wait for this part of the pause that an entry asks for. */
-#define AG_ENDS_PART 4U
+#define AG_OUTCOMES_DIVISOR 4U
 /* ms after its session that an entry is forgotten; messages of an earlier
  * session are too old to be taken long before. */
 #define AG_FORGET_MS 60000U
 
 /* ms after which room that an entry wanted, was shown and did not use is
  * shown to others again; a round trip takes 2 to 6. */
-#define AG_SHOWN_MS 20U
+#define AG_OFFER_MS 20U
 
 /* One entry, as the agent sees it. */
 struct ag_entry {
     uint64_t id;
     struct sess sess;
-    uint64_t newest; /* session number; an ended one is not begun again */
+    uint64_t
+        newest_session; /* session number; an ended one is not begun again */
     bool open;
-    uint64_t begun_ms;
-    uint64_t ended_ms;
-    dw_want want;
-    int64_t told_millicores; /* free, as told last */
+    uint64_t opened_ms;
+    uint64_t closed_ms;
+    dw_want demand;
+    int64_t reported_millicores; /* free, as told last */
     uint64_t
-        shown_ms;  /* since when it has room that it wants; 0: it has not */
-    dw_msg *batch; /* ends collected since the last flush */
+        offered_ms; /* since when it has room that it wants; 0: it has not */
+    dw_msg *batch;  /* ends collected since the last flush */
     UT_hash_handle hh;
 };
 
@@ -66,9 +67,9 @@
     void (*send)(void *ctx, uint64_t to, const dw_msg *msg);
     /* Nothing came from there for long: connect anew. */
     void (*reconnect)(void *ctx, uint64_t to);
-    void (*note_end)(
+    void (*run_ended)(
         void *ctx, const struct rn_run *run, dw_end how, uint32_t ran_ms);
-    void (*note_session)(
+    void (*session_event)(
         void *ctx, uint64_t entry, const char *what, uint64_t silent_ms);
 };
 
@@ -84,10 +85,10 @@
 void ag_init(
     struct agent *a, uint64_t now, const struct ag_ops *ops, void *ctx);
 void ag_free(struct agent *a);
-void ag_orders(
+void ag_handle_orders(
     struct agent *a, uint64_t now, uint64_t from, const dw_orders *o);
 /* The entry's process is dead. */
-void ag_refused(struct agent *a, uint64_t now, uint64_t id);
+void ag_entry_dead(struct agent *a, uint64_t now, uint64_t id);
 void ag_tick(struct agent *a, uint64_t now);
 /* Send what was collected. */
 void ag_flush(struct agent *a, uint64_t now);
@@ -97,7 +98,7 @@
 /* Nothing runs, and everybody was told of every end. */
 bool ag_done(const struct agent *a, uint64_t now);
 /* Entries that are remembered, open or not. */
-size_t ag_entries(const struct agent *a);
+size_t ag_entry_count(const struct agent *a);
 
 #ifdef __cplusplus
 }
--- a/agentd.c
+++ b/agentd.c
@@ -269,7 +269,7 @@
 
     if (m->type == DW_ORDERS) {
         note_address(w, from, &m->dw_msg_u.orders);
-        ag_orders(&w->agent, now, from, &m->dw_msg_u.orders);
+        ag_handle_orders(&w->agent, now, from, &m->dw_msg_u.orders);
     }
 }
 
@@ -278,7 +278,7 @@
 {
     struct worker *w = s->state;
 
-    ag_refused(&w->agent, now, id);
+    ag_entry_dead(&w->agent, now, id);
 }
 
 /* --- what the worker says of itself --- */
--- a/carry.c
+++ b/carry.c
@@ -141,7 +141,7 @@
     [ACT_ANSWER] = do_answer,
     [ACT_TXN] = do_txn,
     [ACT_READ] = do_read,
-    [ACT_NOTE] = do_note,
+    [ACT_EVENT] = do_note,
 };
 
 void
--- a/front.c
+++ b/front.c
@@ -346,7 +346,7 @@
     a.reason = str_to_bytes(STR("owner_unreachable"));
     a.retry_ms = f->cfg.retry_max_ms;
     f->stats.gave_up++;
-    act_note(out, sk_customer(&r->sk), sk_key(&r->sk),
+    act_submission_event(out, sk_customer(&r->sk), sk_key(&r->sk),
         "entry: no word from the owner, answered unknown");
     give_back(f, now, r, false);
     act_answer(out, r->request, &a);
--- a/host.c
+++ b/host.c
@@ -192,7 +192,8 @@
 
     h->fleet_slots = 0;
     for (m = h->view->members; m != NULL; m = m->hh.next) {
-        if (m->role == VIEW_AGENT && view_domain_in(h->view, m->domain)) {
+        if (m->role == VIEW_AGENT &&
+            view_domain_in_service(h->view, m->domain)) {
             h->fleet_slots += m->slots;
         }
     }
@@ -355,7 +356,7 @@
         r->started_ms > 0 ? (uint32_t)(now - r->started_ms) : 0;
     r->outcome.body = str_to_bytes(body);
     r->rec->last_ms = now;
-    act_note(out, sk_customer(&r->rec->sk), sk_key(&r->rec->sk),
+    act_submission_event(out, sk_customer(&r->rec->sk), sk_key(&r->rec->sk),
         "host: task %u attempt %u ended in state %d, code %u, after %u ms",
         r->task.index, r->attempt, (int)state, code, r->outcome.ran_ms);
     send_result(h, now, r, out);
@@ -399,7 +400,7 @@
     h->used_millicores += r->millicores;
     h->used_memory_mb += r->memory_mb;
     h->stats.started++;
-    act_note(out, sk_customer(&r->rec->sk), sk_key(&r->rec->sk),
+    act_submission_event(out, sk_customer(&r->rec->sk), sk_key(&r->rec->sk),
         "host: task %u attempt %u started", r->task.index, r->attempt);
     act_ref(out, ACT_START, r->ref);
 }
--- a/job.c
+++ b/job.c
@@ -345,7 +345,7 @@
         free_results(j, job);
     }
     count_end(j, job->state);
-    act_note(out, sk_customer(&job->sk), sk_key(&job->sk),
+    act_submission_event(out, sk_customer(&job->sk), sk_key(&job->sk),
         "owner: job of %u tasks ended: answer %d %s after %llu ms", job->count,
         (int)job->state, job->reason,
         (unsigned long long)(now - job->admitted_ms));
--- a/jobadmit.c
+++ b/jobadmit.c
@@ -22,7 +22,8 @@
     job->lapses_ms = now + ms;
     job_set_reason(job, reason);
     j->stats.refused++;
-    act_note(out, sk_customer(sk), sk_key(sk), "owner: refused: %s", reason);
+    act_submission_event(
+        out, sk_customer(sk), sk_key(sk), "owner: refused: %s", reason);
     job_answer(job, now, from, s->request, out);
 }
 
@@ -123,7 +124,7 @@
     j->stats.admitted++;
     job->admit_request = s->request;
     job_attach(j, job, from, s->request);
-    act_note(out, sk_customer(sk), sk_key(sk),
+    act_submission_event(out, sk_customer(sk), sk_key(sk),
         "owner: admitted %u tasks in partition %u, epoch %llu", job->count,
         s->partition, (unsigned long long)j->parts[s->partition].epoch);
     job_dispatch(j, now, out);
--- a/member.c
+++ b/member.c
@@ -4,10 +4,10 @@
 #include <string.h>
 
 /* An update is sent this often times log2 of the number of peers. */
-#define SEND_FACTOR 3
+#define UPDATE_SENDS_FACTOR 3
 #define UPDATES_MAX 8
 /* Between two looks for suspects whose time is up. */
-#define BURY_MS 50
+#define SUSPECT_CHECK_MS 50
 
 void
 mbr_init(
@@ -16,7 +16,7 @@
     memset(m, 0, sizeof(*m));
     m->cfg = *cfg;
     m->self = self;
-    m->seed = seed;
+    m->random_state = seed;
 }
 
 void
@@ -29,19 +29,19 @@
         HASH_DEL(m->peers, p);
         free(p);
     }
-    free(m->order);
-    m->order = NULL;
+    free(m->probe_order);
+    m->probe_order = NULL;
 }
 
 static uint64_t
 next_random(struct mbr *m)
 {
-    m->seed = mix64(m->seed, 1);
-    return m->seed;
+    m->random_state = mix64(m->random_state, 1);
+    return m->random_state;
 }
 
 static struct mbr_peer *
-find(const struct mbr *m, uint64_t id)
+find_peer(const struct mbr *m, uint64_t id)
 {
     struct mbr_peer *p;
 
@@ -52,13 +52,13 @@
 const struct mbr_peer *
 mbr_peer(const struct mbr *m, uint64_t id)
 {
-    return find(m, id);
+    return find_peer(m, id);
 }
 
 dw_alive
 mbr_state(const struct mbr *m, uint64_t id)
 {
-    const struct mbr_peer *p = find(m, id);
+    const struct mbr_peer *p = find_peer(m, id);
 
     if (id == m->self) {
         return DW_M_ALIVE;
@@ -67,12 +67,12 @@
 }
 
 static uint32_t
-sends(const struct mbr *m)
+update_sends(const struct mbr *m)
 {
-    uint32_t n = SEND_FACTOR;
+    uint32_t n = UPDATE_SENDS_FACTOR;
 
-    for (size_t k = m->order_count; k > 1; k /= 2) {
-        n += SEND_FACTOR;
+    for (size_t k = m->probe_order_count; k > 1; k /= 2) {
+        n += UPDATE_SENDS_FACTOR;
     }
     return n;
 }
@@ -83,31 +83,31 @@
 {
     bool changed = p->state != state;
 
-    if (!changed && p->round == round) {
+    if (!changed && p->incarnation == round) {
         return false;
     }
     if (changed) {
-        p->since_ms = now;
-        p->proved = false;
-        m->version++;
+        p->state_since_ms = now;
+        p->conn_refused = false;
+        m->state_version++;
     }
     p->state = state;
-    p->round = round;
-    p->sends_left = sends(m);
+    p->incarnation = round;
+    p->sends_left = update_sends(m);
     return changed;
 }
 
 static void
 shuffle(struct mbr *m)
 {
-    for (size_t i = m->order_count; i > 1; i--) {
+    for (size_t i = m->probe_order_count; i > 1; i--) {
         size_t j = next_random(m) % i;
-        uint64_t id = m->order[i - 1];
+        uint64_t id = m->probe_order[i - 1];
 
-        m->order[i - 1] = m->order[j];
-        m->order[j] = id;
+        m->probe_order[i - 1] = m->probe_order[j];
+        m->probe_order[j] = id;
     }
-    m->order_next = 0;
+    m->probe_order_next = 0;
 }
 
 static void
@@ -116,16 +116,17 @@
     struct mbr_peer *p;
     size_t n = 0;
 
-    m->order = dw_grow(m->order, HASH_COUNT(m->peers) * sizeof(uint64_t));
+    m->probe_order =
+        dw_grow(m->probe_order, HASH_COUNT(m->peers) * sizeof(uint64_t));
     for (p = m->peers; p != NULL; p = p->hh.next) {
-        m->order[n++] = p->id;
+        m->probe_order[n++] = p->id;
     }
-    m->order_count = n;
+    m->probe_order_count = n;
     shuffle(m);
 }
 
 static uint32_t
-later_round(uint32_t round, uint64_t mod)
+later_incarnation(uint32_t round, uint64_t mod)
 {
     return (uint32_t)mod > round ? (uint32_t)mod : round;
 }
@@ -137,24 +138,25 @@
  * so what was said of an earlier entry is always out of date.
  */
 static void
-follow_peer(struct mbr *m, const struct view_member *vm, uint64_t now)
+update_peer(struct mbr *m, const struct view_member *vm, uint64_t now)
 {
-    struct mbr_peer *p = find(m, vm->id);
+    struct mbr_peer *p = find_peer(m, vm->id);
 
     if (p == NULL) {
         p = dw_zero(1, sizeof(*p));
         p->id = vm->id;
-        p->since_ms = now;
+        p->state_since_ms = now;
         HASH_ADD(hh, m->peers, id, sizeof(p->id), p);
     }
     if (vm->mod > p->mod) {
         p->mod = vm->mod;
-        set_state(m, p, now, DW_M_ALIVE, later_round(p->round, vm->mod));
+        set_state(
+            m, p, now, DW_M_ALIVE, later_incarnation(p->incarnation, vm->mod));
     }
 }
 
 void
-mbr_sync(struct mbr *m, const struct view *v, uint64_t now)
+mbr_update_members(struct mbr *m, const struct view *v, uint64_t now)
 {
     const struct view_member *vm;
     struct mbr_peer *p;
@@ -168,13 +170,13 @@
     }
     for (vm = v->members; vm != NULL; vm = vm->hh.next) {
         if (vm->id == m->self) {
-            m->round = later_round(m->round, vm->mod);
+            m->incarnation = later_incarnation(m->incarnation, vm->mod);
         }
         else {
-            follow_peer(m, vm, now);
+            update_peer(m, vm, now);
         }
     }
-    m->version++;
+    m->state_version++;
     rebuild_order(m);
 }
 
@@ -182,7 +184,7 @@
 fill_update(const struct mbr_peer *p, dw_update *u)
 {
     u->id = p->id;
-    u->round = p->round;
+    u->round = p->incarnation;
     u->state = p->state;
     u->rev = p->rev;
     u->load = p->load;
@@ -192,13 +194,13 @@
 static void
 fill_updates(struct mbr *m, uint64_t to, dw_ping *ping)
 {
-    struct mbr_peer *about = find(m, to);
+    struct mbr_peer *about = find_peer(m, to);
     struct mbr_peer *p;
     dw_update *u = dw_zero(UPDATES_MAX, sizeof(*u));
     u_int n = 0;
 
     u[n].id = m->self;
-    u[n].round = m->round;
+    u[n].round = m->incarnation;
     u[n].rev = m->rev;
     u[n].load = m->load;
     n++;
@@ -227,16 +229,16 @@
 }
 
 static uint64_t
-next_probe(struct mbr *m)
+next_probe_target(struct mbr *m)
 {
-    for (size_t tries = 0; tries < m->order_count; tries++) {
+    for (size_t tries = 0; tries < m->probe_order_count; tries++) {
         const struct mbr_peer *p;
 
-        if (m->order_next >= m->order_count) {
+        if (m->probe_order_next >= m->probe_order_count) {
             shuffle(m);
         }
-        p = find(m, m->order[m->order_next++]);
-        if (p != NULL && !p->proved) {
+        p = find_peer(m, m->probe_order[m->probe_order_next++]);
+        if (p != NULL && !p->conn_refused) {
             return p->id;
         }
     }
@@ -244,34 +246,34 @@
 }
 
 static void
-ask_others(struct mbr *m, struct acts *out)
+send_indirect_probes(struct mbr *m, struct acts *out)
 {
-    for (uint32_t i = 0; i < m->cfg.fanout && m->order_count > 1; i++) {
-        uint64_t id = m->order[next_random(m) % m->order_count];
-        const struct mbr_peer *p = find(m, id);
+    for (uint32_t i = 0; i < m->cfg.fanout && m->probe_order_count > 1; i++) {
+        uint64_t id = m->probe_order[next_random(m) % m->probe_order_count];
+        const struct mbr_peer *p = find_peer(m, id);
         dw_ping *ping;
 
-        if (p == NULL || p->state != DW_M_ALIVE || id == m->probe) {
+        if (p == NULL || p->state != DW_M_ALIVE || id == m->probe_target) {
             continue;
         }
         ping = send_ping(m, id, DW_PING_REQ, out);
         ping->seq = m->seq;
-        ping->target = m->probe;
+        ping->target = m->probe_target;
         ping->origin = m->self;
     }
-    m->probe_asked = true;
+    m->indirect_sent = true;
 }
 
 static bool
-end_probe(struct mbr *m, uint64_t now)
+fail_probe(struct mbr *m, uint64_t now)
 {
-    struct mbr_peer *p = find(m, m->probe);
+    struct mbr_peer *p = find_peer(m, m->probe_target);
 
-    m->probe = 0;
+    m->probe_target = 0;
     if (p == NULL || p->state != DW_M_ALIVE) {
         return false;
     }
-    return set_state(m, p, now, DW_M_SUSPECT, p->round);
+    return set_state(m, p, now, DW_M_SUSPECT, p->incarnation);
 }
 
 static void
@@ -279,28 +281,28 @@
 {
     dw_ping *ping;
 
-    m->probe = next_probe(m);
+    m->probe_target = next_probe_target(m);
     m->probe_ms = now;
-    m->probe_asked = false;
-    if (m->probe == 0) {
+    m->indirect_sent = false;
+    if (m->probe_target == 0) {
         return;
     }
-    ping = send_ping(m, m->probe, DW_PING, out);
+    ping = send_ping(m, m->probe_target, DW_PING, out);
     ping->seq = ++m->seq;
-    ping->target = m->probe;
+    ping->target = m->probe_target;
     ping->origin = m->self;
 }
 
 static bool
-bury_suspects(struct mbr *m, uint64_t now)
+expire_suspects(struct mbr *m, uint64_t now)
 {
     struct mbr_peer *p;
     bool changed = false;
 
     for (p = m->peers; p != NULL; p = p->hh.next) {
         if (p->state == DW_M_SUSPECT &&
-            now - p->since_ms >= m->cfg.suspect_ms) {
-            changed |= set_state(m, p, now, DW_M_DEAD, p->round);
+            now - p->state_since_ms >= m->cfg.suspect_ms) {
+            changed |= set_state(m, p, now, DW_M_DEAD, p->incarnation);
         }
     }
     return changed;
@@ -312,15 +314,15 @@
  * suspicion starts anew; whoever is really dead is found one period later.
  */
 static void
-forgive(struct mbr *m, uint64_t now)
+restart_suspicions(struct mbr *m, uint64_t now)
 {
     struct mbr_peer *p;
 
-    m->probe = 0;
+    m->probe_target = 0;
     m->probe_ms = now;
     for (p = m->peers; p != NULL; p = p->hh.next) {
         if (p->state == DW_M_SUSPECT) {
-            p->since_ms = now;
+            p->state_since_ms = now;
         }
     }
 }
@@ -330,21 +332,21 @@
 {
     bool changed = false;
 
-    if (m->ticked_ms != 0 && now - m->ticked_ms > 2 * m->cfg.period_ms) {
-        forgive(m, now);
+    if (m->last_tick_ms != 0 && now - m->last_tick_ms > 2 * m->cfg.period_ms) {
+        restart_suspicions(m, now);
     }
-    m->ticked_ms = now;
-    if (now - m->buried_ms >= BURY_MS) {
-        m->buried_ms = now;
-        changed = bury_suspects(m, now);
+    m->last_tick_ms = now;
+    if (now - m->suspects_checked_ms >= SUSPECT_CHECK_MS) {
+        m->suspects_checked_ms = now;
+        changed = expire_suspects(m, now);
     }
-    if (m->probe != 0 && !m->probe_asked &&
+    if (m->probe_target != 0 && !m->indirect_sent &&
         now - m->probe_ms >= m->cfg.timeout_ms) {
-        ask_others(m, out);
+        send_indirect_probes(m, out);
     }
     if (now - m->probe_ms >= m->cfg.period_ms) {
-        if (m->probe != 0) {
-            changed |= end_probe(m, now);
+        if (m->probe_target != 0) {
+            changed |= fail_probe(m, now);
         }
         start_probe(m, now, out);
     }
@@ -352,28 +354,28 @@
 }
 
 static bool
-overrides(const dw_update *u, const struct mbr_peer *p)
+supersedes(const dw_update *u, const struct mbr_peer *p)
 {
     switch (u->state) {
     case DW_M_ALIVE:
-        return u->round > p->round;
+        return u->round > p->incarnation;
     case DW_M_SUSPECT:
-        return u->round > p->round ||
-               (u->round == p->round && p->state == DW_M_ALIVE);
+        return u->round > p->incarnation ||
+               (u->round == p->incarnation && p->state == DW_M_ALIVE);
     case DW_M_DEAD:
-        return u->round >= p->round && p->state != DW_M_DEAD;
+        return u->round >= p->incarnation && p->state != DW_M_DEAD;
     }
     return false;
 }
 
 static bool
-take_update(struct mbr *m, uint64_t now, uint64_t from, const dw_update *u)
+apply_update(struct mbr *m, uint64_t now, uint64_t from, const dw_update *u)
 {
-    struct mbr_peer *p = find(m, u->id);
+    struct mbr_peer *p = find_peer(m, u->id);
 
     if (u->id == m->self) {
-        if (u->state != DW_M_ALIVE && u->round >= m->round) {
-            m->round = u->round + 1;
+        if (u->state != DW_M_ALIVE && u->round >= m->incarnation) {
+            m->incarnation = u->round + 1;
         }
         return false;
     }
@@ -386,7 +388,7 @@
         p->load = u->load;
         p->have_load = true;
     }
-    if (overrides(u, p)) {
+    if (supersedes(u, p)) {
         return set_state(m, p, now, u->state, u->round);
     }
     return false;
@@ -414,8 +416,8 @@
         fwd->origin = ack->origin;
         return;
     }
-    if (ack->target == m->probe && ack->seq == m->seq) {
-        m->probe = 0;
+    if (ack->target == m->probe_target && ack->seq == m->seq) {
+        m->probe_target = 0;
     }
 }
 
@@ -430,14 +432,14 @@
 }
 
 bool
-mbr_message(struct mbr *m, uint64_t now, uint64_t from, const dw_msg *msg,
-    struct acts *out)
+mbr_handle_message(struct mbr *m, uint64_t now, uint64_t from,
+    const dw_msg *msg, struct acts *out)
 {
     const dw_ping *ping = &msg->dw_msg_u.ping;
     bool changed = false;
 
     for (u_int i = 0; i < ping->updates.updates_len; i++) {
-        changed |= take_update(m, now, from, &ping->updates.updates_val[i]);
+        changed |= apply_update(m, now, from, &ping->updates.updates_val[i]);
     }
     if (msg->type == DW_PING) {
         on_ping(m, from, ping, out);
@@ -452,21 +454,21 @@
 }
 
 bool
-mbr_refused(struct mbr *m, uint64_t now, uint64_t id)
+mbr_conn_refused(struct mbr *m, uint64_t now, uint64_t id)
 {
-    struct mbr_peer *p = find(m, id);
+    struct mbr_peer *p = find_peer(m, id);
     bool changed;
 
-    if (p == NULL || p->proved) {
+    if (p == NULL || p->conn_refused) {
         return false;
     }
-    changed = set_state(m, p, now, DW_M_DEAD, p->round);
-    p->proved = true;
+    changed = set_state(m, p, now, DW_M_DEAD, p->incarnation);
+    p->conn_refused = true;
     return changed;
 }
 
 void
-mbr_ask_load(struct mbr *m, uint64_t id, struct acts *out)
+mbr_request_load(struct mbr *m, uint64_t id, struct acts *out)
 {
     dw_ping *ping = send_ping(m, id, DW_PING, out);
 
--- a/member.h
+++ b/member.h
@@ -31,11 +31,11 @@
 
 struct mbr_peer {
     uint64_t id;
-    uint32_t round;
+    uint32_t incarnation;
     uint64_t mod; /* of its entry in the view */
     dw_alive state;
-    bool proved; /* dead for certain: its port refuses connections */
-    uint64_t since_ms;
+    bool conn_refused; /* dead for certain: its port refuses connections */
+    uint64_t state_since_ms;
     uint64_t heard_ms;
     uint64_t rev;
     dw_load load;
@@ -47,21 +47,21 @@
 struct mbr {
     struct mbr_cfg cfg;
     uint64_t self;
-    uint32_t round;
+    uint32_t incarnation;
     uint64_t rev;
     dw_load load;
     struct mbr_peer *peers;
-    uint64_t *order;
-    size_t order_count;
-    size_t order_next;
-    uint64_t seed;
+    uint64_t *probe_order;
+    size_t probe_order_count;
+    size_t probe_order_next;
+    uint64_t random_state;
     uint32_t seq;
-    uint64_t probe;
+    uint64_t probe_target;
     uint64_t probe_ms;
-    bool probe_asked;
-    uint64_t ticked_ms;
-    uint64_t buried_ms;
-    uint64_t version; /* goes up whenever a state changes */
+    bool indirect_sent;
+    uint64_t last_tick_ms;
+    uint64_t suspects_checked_ms;
+    uint64_t state_version; /* goes up whenever a state changes */
 };
 
 void mbr_init(
@@ -69,16 +69,16 @@
 void mbr_free(struct mbr *m);
 
 /* Follow the view's list of members. */
-void mbr_sync(struct mbr *m, const struct view *v, uint64_t now);
+void mbr_update_members(struct mbr *m, const struct view *v, uint64_t now);
 /* Ping, suspect, declare dead.  Returns true if a peer's state changed. */
 bool mbr_tick(struct mbr *m, uint64_t now, struct acts *out);
 /* Handle a ping, its answer or a request to ping; true as above. */
-bool mbr_message(struct mbr *m, uint64_t now, uint64_t from, const dw_msg *msg,
-    struct acts *out);
+bool mbr_handle_message(struct mbr *m, uint64_t now, uint64_t from,
+    const dw_msg *msg, struct acts *out);
 /* The peer's port refused a connection: its process is gone. */
-bool mbr_refused(struct mbr *m, uint64_t now, uint64_t id);
+bool mbr_conn_refused(struct mbr *m, uint64_t now, uint64_t id);
 /* Ask a peer for its load; its answer is an ordinary DW_PING_ACK. */
-void mbr_ask_load(struct mbr *m, uint64_t id, struct acts *out);
+void mbr_request_load(struct mbr *m, uint64_t id, struct acts *out);
 
 /* Queries.  A process not known is dead; this one is alive. */
 dw_alive mbr_state(const struct mbr *m, uint64_t id);
--- a/metric.c
+++ b/metric.c
@@ -140,7 +140,7 @@
     add(b, GAUGE, "state_age_ms", sync_age(&n->sync, now));
     add(b, GAUGE, "may_start", node_may_start(n, now));
     add(b, GAUGE, "reader", sync_is_reader(&n->sync));
-    add(b, GAUGE, "store_down", n->sync.down);
+    add(b, GAUGE, "store_down", n->sync.store_down);
     add(b, GAUGE, "members", HASH_COUNT(n->view.members));
     add(b, GAUGE, "partitions_open", own_count(&n->own, OWN_OPEN));
     add(b, GAUGE, "partitions_recovering", own_count(&n->own, OWN_RECOVERING));
--- a/node.c
+++ b/node.c
@@ -129,7 +129,7 @@
 {
     return n->agent && !n->leaving && node_fresh(n, now) &&
            view_member(&n->view, n->self) != NULL &&
-           view_domain_in(&n->view, n->cfg.me.domain);
+           view_domain_in_service(&n->view, n->cfg.me.domain);
 }
 
 /* Every input passes here first: decisions below use these two. */
@@ -271,7 +271,7 @@
     /* Before members that left are forgotten: a lost owner may be one whose
      * death is proved. */
     own_view_changed(&n->own, now, out);
-    mbr_sync(&n->mbr, &n->view, now);
+    mbr_update_members(&n->mbr, &n->view, now);
     lose_hosts(n, now, out);
     place_sync(&n->place, &n->view, &n->mbr);
     host_view_changed(&n->host);
@@ -285,7 +285,7 @@
         /* Held dead: owners have counted our queue as lost. */
         host_release(&n->host, now, out);
     }
-    if (!view_domain_in(&n->view, n->cfg.me.domain)) {
+    if (!view_domain_in_service(&n->view, n->cfg.me.domain)) {
         host_release(&n->host, now, out);
     }
     n->was_listed = listed;
@@ -300,7 +300,7 @@
 
     place_sync(&n->place, &n->view, &n->mbr);
     for (p = n->mbr.peers; p != NULL; p = p->hh.next) {
-        if (p->state == DW_M_DEAD && p->proved) {
+        if (p->state == DW_M_DEAD && p->conn_refused) {
             jobs_host_lost(&n->jobs, now, p->id, out);
         }
     }
@@ -357,7 +357,7 @@
 {
     const struct view_member *me = view_member(&n->view, n->self);
 
-    if (n->member_txn || !n->sync.ever ||
+    if (n->member_txn || !n->sync.ever_confirmed ||
         now - n->member_txn_ms < MEMBER_TXN_MS) {
         return;
     }
@@ -449,7 +449,7 @@
     n->loads_ms = now;
     count = place_stale(&n->place, now, ids, LOAD_ASKS);
     for (size_t i = 0; i < count; i++) {
-        mbr_ask_load(&n->mbr, ids[i], out);
+        mbr_request_load(&n->mbr, ids[i], out);
     }
 }
 
@@ -545,12 +545,12 @@
 
 HANDLER(on_pull)
 {
-    sync_pull(&n->sync, now, from, &msg->dw_msg_u.pull, out);
+    sync_handle_pull(&n->sync, now, from, &msg->dw_msg_u.pull, out);
 }
 
 HANDLER(on_state)
 {
-    if (sync_state(&n->sync, now, from, &msg->dw_msg_u.state)) {
+    if (sync_handle_state(&n->sync, now, from, &msg->dw_msg_u.state)) {
         on_view(n, now, out);
     }
 }
@@ -559,7 +559,7 @@
 {
     const struct mbr_peer *p;
 
-    if (mbr_message(&n->mbr, now, from, msg, out)) {
+    if (mbr_handle_message(&n->mbr, now, from, msg, out)) {
         on_members(n, now, out);
     }
     p = mbr_peer(&n->mbr, from);
@@ -666,7 +666,7 @@
 node_refused(struct node *n, uint64_t now, uint64_t id, struct acts *out)
 {
     set_gates(n, now);
-    if (mbr_refused(&n->mbr, now, id)) {
+    if (mbr_conn_refused(&n->mbr, now, id)) {
         on_members(n, now, out);
     }
 }
@@ -677,7 +677,7 @@
 node_checked(struct node *n, uint64_t now, uint64_t asked_ms, uint64_t rev,
     struct acts *out)
 {
-    sync_checked(&n->sync, asked_ms, rev, out);
+    sync_store_checked(&n->sync, asked_ms, rev, out);
     set_gates(n, now);
 }
 
@@ -685,7 +685,7 @@
 node_read(struct node *n, uint64_t now, uint64_t asked_ms, const dw_state *all,
     struct acts *out)
 {
-    bool moved = sync_read(&n->sync, now, asked_ms, all, out);
+    bool moved = sync_store_read(&n->sync, now, asked_ms, all, out);
 
     if (moved) {
         on_view(n, now, out);
@@ -696,13 +696,13 @@
 void
 node_read_failed(struct node *n)
 {
-    sync_read_failed(&n->sync);
+    sync_store_failed(&n->sync);
 }
 
 void
 node_store_hint(struct node *n, uint64_t now, struct acts *out)
 {
-    sync_hint(&n->sync, now, out);
+    sync_read_now(&n->sync, now, out);
 }
 
 void
@@ -716,7 +716,7 @@
     if (ref == NODE_TXN_MEMBER) {
         n->member_txn = false;
     }
-    sync_hint(&n->sync, now, out);
+    sync_read_now(&n->sync, now, out);
 }
 
 /* --- callers and the backend server --- */
--- a/ops.c
+++ b/ops.c
@@ -314,9 +314,9 @@
 
     for (m = n->view.members; m != NULL; m = m->hh.next) {
         if (mbr_state(&n->mbr, m->id) != DW_M_DEAD &&
-            sync_rev_of(&n->sync, m->id) < op->rev) {
+            sync_peer_rev(&n->sync, m->id) < op->rev) {
             json_array_append_new(list, json_string(m->name));
-            sync_ask(&n->sync, now, m->id, &op->d->acts);
+            sync_request_rev(&n->sync, now, m->id, &op->d->acts);
         }
     }
     return list;
@@ -492,7 +492,7 @@
 static bool
 can_change(struct daemon *d, struct web_req *r)
 {
-    if (d->node.sync.down || !node_fresh(&d->node, proc_now())) {
+    if (d->node.sync.store_down || !node_fresh(&d->node, proc_now())) {
         web_problem(r, 503, "store_down",
             "the platform's store cannot be reached or this entry's state "
             "is not current; nothing was changed",
@@ -508,7 +508,7 @@
 domain_slots(const struct view *v, struct ct_domain *out, size_t max)
 {
     const char *names[SYNC_DOMAINS_MAX];
-    size_t total = view_domains(v, names, SYNC_DOMAINS_MAX);
+    size_t total = view_list_domains(v, names, SYNC_DOMAINS_MAX);
     size_t n = 0;
 
     for (size_t i = 0; i < total && n < max; i++) {
@@ -653,14 +653,14 @@
         }
     }
     return json_pack("{s:s, s:b, s:i, s:i}", "name", name, "in",
-        view_domain_in(v, name), "agents", agents, "slots", slots);
+        view_domain_in_service(v, name), "agents", agents, "slots", slots);
 }
 
 static void
 list_domains(struct daemon *d, struct web_req *r)
 {
     const char *names[SYNC_DOMAINS_MAX];
-    size_t n = view_domains(&d->node.view, names, SYNC_DOMAINS_MAX);
+    size_t n = view_list_domains(&d->node.view, names, SYNC_DOMAINS_MAX);
     json_t *list = json_array();
 
     for (size_t i = 0; i < n; i++) {
@@ -673,7 +673,7 @@
 domain_known(const struct view *v, const char *name)
 {
     const char *names[SYNC_DOMAINS_MAX];
-    size_t n = view_domains(v, names, SYNC_DOMAINS_MAX);
+    size_t n = view_list_domains(v, names, SYNC_DOMAINS_MAX);
 
     for (size_t i = 0; i < n; i++) {
         if (strcmp(names[i], name) == 0) {
@@ -767,7 +767,7 @@
         json_pack("{s:s,s:I,s:I,s:b,s:b,s:I,s:I,s:o}", "name", n->cfg.me.name,
             "revision", (json_int_t)n->view.rev, "age_ms",
             (json_int_t)sync_age(&n->sync, now), "fresh", node_fresh(n, now),
-            "store_down", n->sync.down, "majority",
+            "store_down", n->sync.store_down, "majority",
             (json_int_t)sync_majority_rev(&n->sync), "epoch",
             (json_int_t)n->view.map_epoch, "members", members));
 }
--- a/own.c
+++ b/own.c
@@ -223,7 +223,7 @@
     const struct mbr_peer *peer = mbr_peer(o->mbr, part->owner);
     uint64_t at = now + o->cfg.quiet_ms;
 
-    if (peer != NULL && peer->proved && !map_skipped) {
+    if (peer != NULL && peer->conn_refused && !map_skipped) {
         return part->quiet_at;
     }
     return at > part->quiet_at ? at : part->quiet_at;
@@ -634,7 +634,7 @@
     size_t n = own_count(o, OWN_GIVING);
     uint64_t to;
 
-    if (!o->view->have_map || n >= max || o->sync->down ||
+    if (!o->view->have_map || n >= max || o->sync->store_down ||
         (o->gave_rev == o->view->rev && now - o->gave_ms < TARGET_MS)) {
         return;
     }
--- a/ownmap.c
+++ b/ownmap.c
@@ -24,7 +24,7 @@
 own_eligible(const struct own *o, const struct view_member *m)
 {
     if (m->role != VIEW_AGENT || m->leaving ||
-        !view_domain_in(o->view, m->domain)) {
+        !view_domain_in_service(o->view, m->domain)) {
         return false;
     }
     if (m->id == o->self) {
@@ -81,7 +81,7 @@
     size_t n;
 
     if (o->target_ms != 0 && o->target_rev == o->view->rev &&
-        o->target_version == o->mbr->version &&
+        o->target_version == o->mbr->state_version &&
         (!o->target_again || now - o->target_ms < TARGET_MS)) {
         return;
     }
@@ -94,7 +94,7 @@
     }
     free(ms);
     o->target_rev = o->view->rev;
-    o->target_version = o->mbr->version;
+    o->target_version = o->mbr->state_version;
     o->target_ms = now;
 }
 
@@ -115,7 +115,7 @@
 hears_majority(const struct own *o, uint64_t now)
 {
     const char *names[SYNC_DOMAINS_MAX];
-    size_t total = view_domains(o->view, names, SYNC_DOMAINS_MAX);
+    size_t total = view_list_domains(o->view, names, SYNC_DOMAINS_MAX);
     size_t heard = 0;
 
     for (size_t i = 0; i < total; i++) {
@@ -148,15 +148,15 @@
     const struct view_part *parts, uint64_t epoch, const uint64_t *also,
     size_t also_count)
 {
-    struct view_loss losses[VIEW_LOSSES];
+    struct view_loss losses[VIEW_LOSSES_MAX];
     struct buf b = {0};
     size_t n = 0;
 
-    for (size_t i = 0; i < also_count && n < VIEW_LOSSES; i++) {
+    for (size_t i = 0; i < also_count && n < VIEW_LOSSES_MAX; i++) {
         losses[n].id = also[i];
         losses[n++].age_ms = 0;
     }
-    for (size_t i = 0; i < o->loss_count && n < VIEW_LOSSES; i++) {
+    for (size_t i = 0; i < o->loss_count && n < VIEW_LOSSES_MAX; i++) {
         losses[n].id = o->losses[i].id;
         losses[n++].age_ms = (uint32_t)(now - o->losses[i].ms);
     }
@@ -188,7 +188,7 @@
             own_member_key(key, sizeof(key), m->id);
             txn_compare(t, key, m->mod);
             txn_put(t, key, NULL);
-            if (m->role == VIEW_AGENT && n < VIEW_LOSSES) {
+            if (m->role == VIEW_AGENT && n < VIEW_LOSSES_MAX) {
                 agents[n++] = m->id;
             }
         }
@@ -239,7 +239,7 @@
     struct acts *out)
 {
     struct view_part parts[VIEW_PARTS];
-    uint64_t dead[VIEW_LOSSES];
+    uint64_t dead[VIEW_LOSSES_MAX];
     size_t dead_count;
     uint64_t epoch = o->view->have_map ? o->view->map_epoch + 1 : 1;
     struct txn *t = own_begin_map_txn(o, out);
--- a/place.c
+++ b/place.c
@@ -73,7 +73,7 @@
     }
     str_copy(h->rack, sizeof(h->rack), str_of(vm->rack));
     h->in_service = mbr_state(m, vm->id) == DW_M_ALIVE && !vm->leaving &&
-                    view_domain_in(v, vm->domain);
+                    view_domain_in_service(v, vm->domain);
 }
 
 void
--- a/sim.c
+++ b/sim.c
@@ -166,7 +166,7 @@
         return;
     }
     if (a != NULL && m->msg->type == DW_ORDERS) {
-        ag_orders(&a->a, sim_ms(s), m->from, &m->msg->dw_msg_u.orders);
+        ag_handle_orders(&a->a, sim_ms(s), m->from, &m->msg->dw_msg_u.orders);
         ag_flush(&a->a, sim_ms(s));
     }
     msg_free(m->msg);
@@ -530,7 +530,7 @@
     sim_entry_end(s, e);
     for (uint32_t i = 0; id != 0 && i < s->d->workers; i++) {
         if (s->agents[i].id != 0) {
-            ag_refused(&s->agents[i].a, sim_ms(s), id);
+            ag_entry_dead(&s->agents[i].a, sim_ms(s), id);
         }
     }
 }
--- a/sync.c
+++ b/sync.c
@@ -6,11 +6,11 @@
 #define READERS_MIN 2
 #define READERS_MAX 16
 /* A puller silent for longer gets no pushes. */
-#define PULLER_MS 5000
-#define PULLS_UNANSWERED 3
+#define PULLER_TIMEOUT_MS 5000
+#define PULLS_UNANSWERED_MAX 3
 /* Readers ask those of other domains more seldom than members ask them:
  * changes are pushed, and during an outage once a second is enough. */
-#define MESH_TIMES 2
+#define DOMAIN_PULL_FACTOR 2
 
 void
 sync_init(struct sync *s, const struct sync_cfg *cfg, uint64_t self,
@@ -37,7 +37,7 @@
 }
 
 static uint64_t
-score(const struct view_member *m)
+reader_score(const struct view_member *m)
 {
     return mix64(m->id, 0x72656164U);
 }
@@ -48,7 +48,7 @@
 {
     size_t i = *n;
 
-    if (i == max && score(best[i - 1]) >= score(m)) {
+    if (i == max && reader_score(best[i - 1]) >= reader_score(m)) {
         return;
     }
     if (i == max) {
@@ -57,7 +57,7 @@
     else {
         (*n)++;
     }
-    while (i > 0 && score(best[i - 1]) < score(m)) {
+    while (i > 0 && reader_score(best[i - 1]) < reader_score(m)) {
         best[i] = best[i - 1];
         i--;
     }
@@ -66,7 +66,7 @@
 
 /* The readers of a failure domain, chosen alike by all who see it alike. */
 static size_t
-readers(const struct sync *s, const char *domain,
+select_readers(const struct sync *s, const char *domain,
     const struct view_member *best[READERS_MAX])
 {
     const struct view_member *m;
@@ -87,10 +87,10 @@
 }
 
 static bool
-find_reader(const struct sync *s)
+compute_is_reader(const struct sync *s)
 {
     const struct view_member *best[READERS_MAX];
-    size_t n = readers(s, s->domain, best);
+    size_t n = select_readers(s, s->domain, best);
 
     for (size_t i = 0; i < n; i++) {
         if (best[i]->id == s->self) {
@@ -104,22 +104,22 @@
 bool
 sync_is_reader(struct sync *s)
 {
-    if (s->reader_rev != s->view->rev || s->view->rev == 0 ||
-        s->reader_version != s->mbr->version) {
-        s->reader = find_reader(s);
-        s->reader_rev = s->view->rev;
-        s->reader_version = s->mbr->version;
+    if (s->reader_view_rev != s->view->rev || s->view->rev == 0 ||
+        s->reader_state_version != s->mbr->state_version) {
+        s->is_reader = compute_is_reader(s);
+        s->reader_view_rev = s->view->rev;
+        s->reader_state_version = s->mbr->state_version;
     }
-    return s->reader;
+    return s->is_reader;
 }
 
 static void
 confirm(struct sync *s, uint64_t at)
 {
-    if (!s->ever || at > s->confirmed_ms) {
+    if (!s->ever_confirmed || at > s->confirmed_ms) {
         s->confirmed_ms = at;
     }
-    s->ever = true;
+    s->ever_confirmed = true;
 }
 
 uint32_t
@@ -127,7 +127,7 @@
 {
     uint64_t age;
 
-    if (!s->ever) {
+    if (!s->ever_confirmed) {
         return UINT32_MAX;
     }
     age = now > s->confirmed_ms ? now - s->confirmed_ms : 0;
@@ -137,30 +137,30 @@
 bool
 sync_fresh(const struct sync *s, uint64_t now)
 {
-    return s->ever && sync_age(s, now) <= s->cfg.fresh_ms;
+    return s->ever_confirmed && sync_age(s, now) <= s->cfg.fresh_ms;
 }
 
-static struct sync_mesh *
-mesh_entry(struct sync *s, const char *domain)
+static struct sync_domain *
+add_domain(struct sync *s, const char *domain)
 {
-    for (size_t i = 0; i < s->mesh_count; i++) {
-        if (strcmp(s->mesh[i].domain, domain) == 0) {
-            return &s->mesh[i];
+    for (size_t i = 0; i < s->domain_count; i++) {
+        if (strcmp(s->domains[i].domain, domain) == 0) {
+            return &s->domains[i];
         }
     }
-    if (s->mesh_count == SYNC_DOMAINS_MAX) {
+    if (s->domain_count == SYNC_DOMAINS_MAX) {
         return NULL;
     }
-    str_copy(s->mesh[s->mesh_count].domain, CT_NAME_MAX, str_of(domain));
-    return &s->mesh[s->mesh_count++];
+    str_copy(s->domains[s->domain_count].domain, CT_NAME_MAX, str_of(domain));
+    return &s->domains[s->domain_count++];
 }
 
-static const struct sync_mesh *
-mesh_of(const struct sync *s, const char *domain)
+static const struct sync_domain *
+find_domain(const struct sync *s, const char *domain)
 {
-    for (size_t i = 0; i < s->mesh_count; i++) {
-        if (strcmp(s->mesh[i].domain, domain) == 0) {
-            return &s->mesh[i];
+    for (size_t i = 0; i < s->domain_count; i++) {
+        if (strcmp(s->domains[i].domain, domain) == 0) {
+            return &s->domains[i];
         }
     }
     return NULL;
@@ -198,21 +198,21 @@
 {
     const char *names[SYNC_DOMAINS_MAX];
     uint64_t heard[SYNC_DOMAINS_MAX];
-    size_t total = view_domains(s->view, names, SYNC_DOMAINS_MAX);
+    size_t total = view_list_domains(s->view, names, SYNC_DOMAINS_MAX);
     size_t n = 0;
     uint64_t at;
 
-    if (!s->down || s->view->rev == 0) {
+    if (!s->store_down || s->view->rev == 0) {
         return;
     }
     for (size_t i = 0; i < total; i++) {
-        const struct sync_mesh *e = mesh_of(s, names[i]);
+        const struct sync_domain *e = find_domain(s, names[i]);
 
         if (strcmp(names[i], s->domain) == 0) {
             heard[n++] = now;
         }
-        else if (e != NULL && e->down && e->rev <= s->view->rev) {
-            heard[n++] = e->asked_ms;
+        else if (e != NULL && e->store_down && e->rev <= s->view->rev) {
+            heard[n++] = e->pull_sent_ms;
         }
     }
     at = majority_value(heard, n, total);
@@ -226,14 +226,14 @@
 {
     const char *names[SYNC_DOMAINS_MAX];
     uint64_t revs[SYNC_DOMAINS_MAX];
-    size_t total = view_domains(s->view, names, SYNC_DOMAINS_MAX);
+    size_t total = view_list_domains(s->view, names, SYNC_DOMAINS_MAX);
     size_t n = 0;
 
     if (!sync_is_reader(s)) {
         return s->majority_rev;
     }
     for (size_t i = 0; i < total; i++) {
-        const struct sync_mesh *e = mesh_of(s, names[i]);
+        const struct sync_domain *e = find_domain(s, names[i]);
 
         if (strcmp(names[i], s->domain) == 0) {
             revs[n++] = s->view->rev;
@@ -257,24 +257,25 @@
 }
 
 void
-sync_ask(struct sync *s, uint64_t now, uint64_t id, struct acts *out)
+sync_request_rev(struct sync *s, uint64_t now, uint64_t id, struct acts *out)
 {
     send_pull(s, now, id, true, out);
 }
 
 /* A silent reader is passed over after a few questions. */
 static void
-pull_own(struct sync *s, uint64_t now, struct acts *out)
+pull_reader(struct sync *s, uint64_t now, struct acts *out)
 {
     const struct view_member *best[READERS_MAX];
-    size_t n = readers(s, s->domain, best);
+    size_t n = select_readers(s, s->domain, best);
 
-    if (now - s->answered_ms > PULLS_UNANSWERED * (uint64_t)s->cfg.pull_ms) {
-        s->pull_turn++;
-        s->answered_ms = now;
+    if (now - s->last_answer_ms >
+        PULLS_UNANSWERED_MAX * (uint64_t)s->cfg.pull_ms) {
+        s->pull_rotation++;
+        s->last_answer_ms = now;
     }
     for (size_t i = 0; i < n; i++) {
-        size_t k = (s->self + s->pull_turn + i) % n;
+        size_t k = (s->self + s->pull_rotation + i) % n;
 
         if (best[k]->id != s->self) {
             send_pull(s, now, best[k]->id, false, out);
@@ -284,12 +285,12 @@
 }
 
 static void
-pull_mesh(struct sync *s, uint64_t now, struct acts *out)
+pull_domains(struct sync *s, uint64_t now, struct acts *out)
 {
     const char *names[SYNC_DOMAINS_MAX];
-    size_t total = view_domains(s->view, names, SYNC_DOMAINS_MAX);
+    size_t total = view_list_domains(s->view, names, SYNC_DOMAINS_MAX);
 
-    s->pull_turn++;
+    s->pull_rotation++;
     for (size_t i = 0; i < total; i++) {
         const struct view_member *best[READERS_MAX];
         size_t n;
@@ -297,10 +298,10 @@
         if (strcmp(names[i], s->domain) == 0) {
             continue;
         }
-        n = readers(s, names[i], best);
+        n = select_readers(s, names[i], best);
         if (n > 0) {
             send_pull(
-                s, now, best[(s->self + s->pull_turn) % n]->id, true, out);
+                s, now, best[(s->self + s->pull_rotation) % n]->id, true, out);
         }
     }
 }
@@ -308,12 +309,12 @@
 static void
 read_store(struct sync *s, uint64_t now, enum act_read what, struct acts *out)
 {
-    if (s->reading) {
-        s->again |= what == ACT_READ_ALL;
+    if (s->read_pending) {
+        s->read_again |= what == ACT_READ_ALL;
         return;
     }
-    s->reading = true;
-    s->read_ms = now;
+    s->read_pending = true;
+    s->last_read_ms = now;
     act_ref(out, ACT_READ, what);
 }
 
@@ -322,21 +323,21 @@
 {
     bool reader = sync_is_reader(s);
 
-    if (reader && now - s->read_ms >= s->cfg.read_ms) {
+    if (reader && now - s->last_read_ms >= s->cfg.read_ms) {
         read_store(
             s, now, s->view->rev == 0 ? ACT_READ_ALL : ACT_READ_CHECK, out);
     }
-    if (now - s->pulled_ms < s->cfg.pull_ms) {
+    if (now - s->last_pull_ms < s->cfg.pull_ms) {
         return;
     }
-    s->pulled_ms = now;
-    if (reader &&
-        now - s->meshed_ms >= MESH_TIMES * (uint64_t)s->cfg.pull_ms) {
-        s->meshed_ms = now;
-        pull_mesh(s, now, out);
+    s->last_pull_ms = now;
+    if (reader && now - s->last_domain_pull_ms >=
+                      DOMAIN_PULL_FACTOR * (uint64_t)s->cfg.pull_ms) {
+        s->last_domain_pull_ms = now;
+        pull_domains(s, now, out);
     }
-    if (!reader || s->down) {
-        pull_own(s, now, out);
+    if (!reader || s->store_down) {
+        pull_reader(s, now, out);
     }
     if (reader) {
         confirm_by_outage(s, now);
@@ -344,7 +345,7 @@
 }
 
 void
-sync_hint(struct sync *s, uint64_t now, struct acts *out)
+sync_read_now(struct sync *s, uint64_t now, struct acts *out)
 {
     if (sync_is_reader(s)) {
         read_store(s, now, ACT_READ_ALL, out);
@@ -352,29 +353,30 @@
 }
 
 void
-sync_checked(struct sync *s, uint64_t asked_ms, uint64_t rev, struct acts *out)
+sync_store_checked(
+    struct sync *s, uint64_t asked_ms, uint64_t rev, struct acts *out)
 {
-    s->reading = false;
-    s->down = false;
+    s->read_pending = false;
+    s->store_down = false;
     if (rev <= s->view->rev) {
         confirm(s, asked_ms);
     }
-    if (rev > s->view->rev || s->again) {
-        s->again = false;
-        read_store(s, s->read_ms, ACT_READ_ALL, out);
+    if (rev > s->view->rev || s->read_again) {
+        s->read_again = false;
+        read_store(s, s->last_read_ms, ACT_READ_ALL, out);
     }
 }
 
 bool
-sync_read(struct sync *s, uint64_t now, uint64_t asked_ms, const dw_state *all,
-    struct acts *out)
+sync_store_read(struct sync *s, uint64_t now, uint64_t asked_ms,
+    const dw_state *all, struct acts *out)
 {
     bool moved = view_apply(s->view, all);
 
-    s->reading = false;
-    s->down = false;
-    if (s->again) {
-        s->again = false;
+    s->read_pending = false;
+    s->store_down = false;
+    if (s->read_again) {
+        s->read_again = false;
         read_store(s, now, ACT_READ_ALL, out);
     }
     if (all->rev <= s->view->rev) {
@@ -384,14 +386,14 @@
 }
 
 void
-sync_read_failed(struct sync *s)
+sync_store_failed(struct sync *s)
 {
-    s->reading = false;
-    s->down = true;
+    s->read_pending = false;
+    s->store_down = true;
 }
 
 static void
-note_puller(struct sync *s, uint64_t now, uint64_t id, uint64_t rev)
+record_puller(struct sync *s, uint64_t now, uint64_t id, uint64_t rev)
 {
     struct sync_puller *p;
 
@@ -413,18 +415,18 @@
 
     view_changes(s->view, since, st);
     st->age_ms = sync_age(s, now);
-    st->confirmed = s->ever;
+    st->confirmed = s->ever_confirmed;
     st->reader = sync_is_reader(s);
-    st->store_down = s->down;
+    st->store_down = s->store_down;
     st->majority_rev = sync_majority_rev(s);
     return st;
 }
 
 bool
-sync_pull(struct sync *s, uint64_t now, uint64_t from, const dw_pull *pull,
-    struct acts *out)
+sync_handle_pull(struct sync *s, uint64_t now, uint64_t from,
+    const dw_pull *pull, struct acts *out)
 {
-    note_puller(s, now, from, pull->rev);
+    record_puller(s, now, from, pull->rev);
     send_state(s, now, from, pull->rev, out)->asked_ms = pull->asked_ms;
     return false;
 }
@@ -436,7 +438,7 @@
     struct sync_puller *tmp;
 
     HASH_ITER (hh, s->pullers, p, tmp) {
-        if (now - p->heard_ms > PULLER_MS) {
+        if (now - p->heard_ms > PULLER_TIMEOUT_MS) {
             HASH_DEL(s->pullers, p);
             free(p);
         }
@@ -450,25 +452,26 @@
 /* Another domain's reader: remember what it holds and how it finds the
  * store.  An answer to an older question than the last says nothing new. */
 static void
-note_mesh(struct sync *s, uint64_t from, const dw_state *st)
+record_domain(struct sync *s, uint64_t from, const dw_state *st)
 {
     const struct view_member *m = view_member(s->view, from);
-    struct sync_mesh *e;
+    struct sync_domain *e;
 
     if (m == NULL || strcmp(m->domain, s->domain) == 0) {
         return;
     }
-    e = mesh_entry(s, m->domain);
-    if (e == NULL || st->asked_ms < e->asked_ms) {
+    e = add_domain(s, m->domain);
+    if (e == NULL || st->asked_ms < e->pull_sent_ms) {
         return;
     }
-    e->asked_ms = st->asked_ms;
+    e->pull_sent_ms = st->asked_ms;
     e->rev = st->rev;
-    e->down = st->store_down;
+    e->store_down = st->store_down;
 }
 
 bool
-sync_state(struct sync *s, uint64_t now, uint64_t from, const dw_state *st)
+sync_handle_state(
+    struct sync *s, uint64_t now, uint64_t from, const dw_state *st)
 {
     bool moved = view_apply(s->view, st);
     struct sync_puller *p;
@@ -478,13 +481,13 @@
         p->rev = st->rev;
     }
     if (p == NULL && st->asked_ms > 0) {
-        note_puller(s, now, from, st->rev);
+        record_puller(s, now, from, st->rev);
     }
     if (st->asked_ms == 0 || st->asked_ms > now || !st->reader) {
         return moved;
     }
-    note_mesh(s, from, st);
-    s->answered_ms = now;
+    record_domain(s, from, st);
+    s->last_answer_ms = now;
     s->majority_rev = st->majority_rev;
     if (st->confirmed && st->rev <= s->view->rev &&
         st->age_ms <= st->asked_ms) {
@@ -494,7 +497,7 @@
 }
 
 uint64_t
-sync_rev_of(const struct sync *s, uint64_t id)
+sync_peer_rev(const struct sync *s, uint64_t id)
 {
     struct sync_puller *p;
 
--- a/sync.h
+++ b/sync.h
@@ -44,11 +44,11 @@
 };
 
 /* The reader last heard in a failure domain. */
-struct sync_mesh {
+struct sync_domain {
     char domain[CT_NAME_MAX];
-    uint64_t asked_ms; /* our clock when the answered question left */
+    uint64_t pull_sent_ms; /* our clock when the answered question left */
     uint64_t rev;
-    bool down;
+    bool store_down;
 };
 
 struct sync {
@@ -57,23 +57,23 @@
     char domain[CT_NAME_MAX];
     struct view *view;
     struct mbr *mbr;
-    bool ever;
+    bool ever_confirmed;
     uint64_t confirmed_ms;
-    bool down;        /* our last read of the store failed */
-    bool reading;     /* a read is out */
-    bool again;       /* a change was told of meanwhile */
-    uint64_t read_ms; /* when the last read left */
-    uint64_t pulled_ms;
-    uint64_t meshed_ms;
-    uint64_t answered_ms;
-    uint32_t pull_turn;
+    bool store_down;       /* our last read of the store failed */
+    bool read_pending;     /* a read is out */
+    bool read_again;       /* a change was told of meanwhile */
+    uint64_t last_read_ms; /* when the last read left */
+    uint64_t last_pull_ms;
+    uint64_t last_domain_pull_ms;
+    uint64_t last_answer_ms;
+    uint32_t pull_rotation;
     uint64_t majority_rev; /* as our reader told */
-    bool reader;           /* cached; see sync_is_reader() */
-    uint64_t reader_rev;
-    uint64_t reader_version;
+    bool is_reader;        /* cached; see sync_is_reader() */
+    uint64_t reader_view_rev;
+    uint64_t reader_state_version;
     struct sync_puller *pullers;
-    struct sync_mesh mesh[SYNC_DOMAINS_MAX];
-    size_t mesh_count;
+    struct sync_domain domains[SYNC_DOMAINS_MAX];
+    size_t domain_count;
 };
 
 void sync_init(struct sync *s, const struct sync_cfg *cfg, uint64_t self,
@@ -82,23 +82,24 @@
 
 void sync_tick(struct sync *s, uint64_t now, struct acts *out);
 /* Handlers; true if the view moved. */
-bool sync_pull(struct sync *s, uint64_t now, uint64_t from,
+bool sync_handle_pull(struct sync *s, uint64_t now, uint64_t from,
     const dw_pull *pull, struct acts *out);
-bool sync_state(
+bool sync_handle_state(
     struct sync *s, uint64_t now, uint64_t from, const dw_state *state);
 /* The store's revision was `rev` at some time after asked_ms. */
-void sync_checked(
+void sync_store_checked(
     struct sync *s, uint64_t asked_ms, uint64_t rev, struct acts *out);
 /* The store's whole content, read after asked_ms. */
-bool sync_read(struct sync *s, uint64_t now, uint64_t asked_ms,
+bool sync_store_read(struct sync *s, uint64_t now, uint64_t asked_ms,
     const dw_state *all, struct acts *out);
-void sync_read_failed(struct sync *s);
+void sync_store_failed(struct sync *s);
 /* Ask the store again at once, as something has changed there. */
-void sync_hint(struct sync *s, uint64_t now, struct acts *out);
+void sync_read_now(struct sync *s, uint64_t now, struct acts *out);
 /* Send what is new to those who asked us lately. */
 void sync_push(struct sync *s, uint64_t now, struct acts *out);
-/* Ask one process for its revision; it shows in sync_rev_of(). */
-void sync_ask(struct sync *s, uint64_t now, uint64_t id, struct acts *out);
+/* Ask one process for its revision; it shows in sync_peer_rev(). */
+void sync_request_rev(
+    struct sync *s, uint64_t now, uint64_t id, struct acts *out);
 
 /* Queries. */
 bool sync_fresh(const struct sync *s, uint64_t now);
@@ -107,7 +108,7 @@
 bool sync_is_reader(struct sync *s);
 /* The highest revision that readers in a majority of domains hold. */
 uint64_t sync_majority_rev(struct sync *s);
-uint64_t sync_rev_of(const struct sync *s, uint64_t id);
+uint64_t sync_peer_rev(const struct sync *s, uint64_t id);
 
 #ifdef __cplusplus
 }
--- a/test/agent-test.cc
+++ b/test/agent-test.cc
@@ -81,7 +81,7 @@
         o.head.clock_ms = now;
         o.head.echo_ms = now;
         o.want = want;
-        ag_orders(&a, now, entry, &o);
+        ag_handle_orders(&a, now, entry, &o);
     }
     /* A worker of 10 cores that is known and has so many free. */
     void
@@ -132,10 +132,10 @@
         ag_tick(&s.a, s.now);
         EXPECT_EQ(s.a.open_count, 0u);
     }
-    EXPECT_LE(ag_entries(&s.a), AG_FORGET_MS / SESS_LEASE_MS + 1);
+    EXPECT_LE(ag_entry_count(&s.a), AG_FORGET_MS / SESS_LEASE_MS + 1);
     s.now += AG_FORGET_MS + 1;
     ag_tick(&s.a, s.now);
-    EXPECT_EQ(ag_entries(&s.a), 0u);
+    EXPECT_EQ(ag_entry_count(&s.a), 0u);
 }
 
 TEST(Agent, AnEntryOfTwoSessionsCountsOnce)
@@ -146,9 +146,9 @@
     s.beat(1);
     memset(&o, 0, sizeof(o));
     o.head.session = 8;
-    ag_orders(&s.a, s.now, 1, &o);
+    ag_handle_orders(&s.a, s.now, 1, &o);
     EXPECT_EQ(s.a.open_count, 1u);
-    ag_refused(&s.a, s.now, 1);
+    ag_entry_dead(&s.a, s.now, 1);
     EXPECT_EQ(s.a.open_count, 0u);
 }
 
@@ -204,7 +204,7 @@
     s.room(6000);
     s.flush();
     EXPECT_EQ(s.hears(1), 6000);
-    s.now += AG_SHOWN_MS + 1;
+    s.now += AG_OFFER_MS + 1;
     s.flush();
     EXPECT_EQ(s.hears(2), 6000);
 }
@@ -234,7 +234,7 @@
     s.now += SESS_BEAT_MS;
     s.flush();
     s.room(8000);
-    s.now += 2 * AG_ROOM_MS_PER_ENTRY;
+    s.now += 2 * AG_CAPACITY_MS_PER_ENTRY;
     s.flush();
     EXPECT_EQ(s.hears(1), -1);
     s.now += SESS_BEAT_MS;
@@ -242,7 +242,7 @@
     EXPECT_EQ(s.hears(1), 8000);
     s.now++;
     s.room(2000);
-    s.now += 2 * AG_ROOM_MS_PER_ENTRY;
+    s.now += 2 * AG_CAPACITY_MS_PER_ENTRY;
     s.flush();
     EXPECT_EQ(s.hears(1), 2000);
 }
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -227,7 +227,7 @@
         case ACT_READ:
             do_read(p, a->ref);
             break;
-        case ACT_NOTE:
+        case ACT_EVENT:
             break;
         }
         act_free(a);
--- a/test/unit-test.cc
+++ b/test/unit-test.cc
@@ -221,12 +221,12 @@
     dw_state s = state(10, true);
     add_kv(&s, VIEW_DOMAIN "aarhus", "{\"in\":false}", 10);
     EXPECT_TRUE(view_apply(&v, &s));
-    EXPECT_FALSE(view_domain_in(&v, "aarhus"));
+    EXPECT_FALSE(view_domain_in_service(&v, "aarhus"));
 
     dw_state old = state(9, true);
     add_kv(&old, VIEW_DOMAIN "aarhus", "{\"in\":true}", 9);
     EXPECT_FALSE(view_apply(&v, &old));
-    EXPECT_FALSE(view_domain_in(&v, "aarhus"));
+    EXPECT_FALSE(view_domain_in_service(&v, "aarhus"));
     EXPECT_EQ(v.rev, 10U);
     xdr_free((xdrproc_t)xdr_dw_state, &s);
     xdr_free((xdrproc_t)xdr_dw_state, &old);
--- a/test/world.cc
+++ b/test/world.cc
@@ -568,7 +568,7 @@
             FakeAgent *p = a.get();
             if (p->up && p->id == to && copy->type == DW_ORDERS) {
                 on_agent(p, [this, p, from, copy] {
-                    ag_orders(&p->a, now, from, &copy->dw_msg_u.orders);
+                    ag_handle_orders(&p->a, now, from, &copy->dw_msg_u.orders);
                 });
             }
         }
@@ -681,7 +681,7 @@
         uint64_t agent_id = a->id;
         after(MESSAGE_MS, [this, a, agent_id, id, dark] {
             if (!dark && a->up && a->id == agent_id) {
-                on_agent(a, [this, a, id] { ag_refused(&a->a, now, id); });
+                on_agent(a, [this, a, id] { ag_entry_dead(&a->a, now, id); });
             }
         });
     }
--- a/view.c
+++ b/view.c
@@ -102,7 +102,7 @@
 }
 
 static uint32_t
-number(json_t *o, const char *name)
+get_number(json_t *o, const char *name)
 {
     return (uint32_t)json_integer_value(json_object_get(o, name));
 }
@@ -138,9 +138,9 @@
     copy_text(o, "addr", m->addr, sizeof(m->addr));
     copy_text(o, "domain", m->domain, sizeof(m->domain));
     copy_text(o, "rack", m->rack, sizeof(m->rack));
-    m->port = (uint16_t)number(o, "port");
-    m->http = (uint16_t)number(o, "http");
-    m->slots = number(o, "slots");
+    m->port = (uint16_t)get_number(o, "port");
+    m->http = (uint16_t)get_number(o, "http");
+    m->slots = get_number(o, "slots");
     m->leaving = json_is_true(json_object_get(o, "leaving"));
     m->role = strcmp(json_string_value(json_object_get(o, "role")) != NULL
                          ? json_string_value(json_object_get(o, "role"))
@@ -205,7 +205,7 @@
         HASH_ADD_STR(v->domains, name, d);
     }
     o = json_loadb(value.p, value.n, 0, NULL);
-    d->in = o == NULL || !json_is_false(json_object_get(o, "in"));
+    d->in_service = o == NULL || !json_is_false(json_object_get(o, "in"));
     d->mod = mod;
     json_decref(o);
 }
@@ -233,7 +233,7 @@
     json_array_foreach (list, i, row) {
         struct view_loss *l = &v->losses[v->loss_count];
 
-        if (v->loss_count < VIEW_LOSSES &&
+        if (v->loss_count < VIEW_LOSSES_MAX &&
             str_hex64(
                 str_of(json_string_value(json_array_get(row, 0))), &l->id)) {
             l->age_ms = (uint32_t)json_integer_value(json_array_get(row, 1));
@@ -295,11 +295,11 @@
 static void
 remember_deletion(struct view *v, struct str key, uint64_t rev)
 {
-    if (v->deletion_count == VIEW_DELETIONS) {
+    if (v->deletion_count == VIEW_DELETIONS_MAX) {
         v->deletion_floor = v->deletions[0].rev;
         free(v->deletions[0].key);
         memmove(&v->deletions[0], &v->deletions[1],
-            (VIEW_DELETIONS - 1) * sizeof(v->deletions[0]));
+            (VIEW_DELETIONS_MAX - 1) * sizeof(v->deletions[0]));
         v->deletion_count--;
     }
     v->deletions[v->deletion_count].key = str_dup(key);
@@ -343,7 +343,7 @@
 
 /* Delete what a whole state does not list. */
 static void
-apply_absences(struct view *v, const dw_state *s)
+delete_unlisted(struct view *v, const dw_state *s)
 {
     struct view fresh;
     struct view_kv *kv;
@@ -375,7 +375,7 @@
         return false;
     }
     if (s->whole) {
-        apply_absences(v, s);
+        delete_unlisted(v, s);
     }
     for (u_int i = 0; i < s->kvs.kvs_len; i++) {
         const dw_kv *kv = &s->kvs.kvs_val[i];
@@ -472,16 +472,16 @@
 }
 
 bool
-view_domain_in(const struct view *v, const char *name)
+view_domain_in_service(const struct view *v, const char *name)
 {
     struct view_domain *d;
 
     HASH_FIND_STR(v->domains, name, d);
-    return d == NULL || d->in;
+    return d == NULL || d->in_service;
 }
 
 static size_t
-add_name(const char *names[], size_t n, size_t max, const char *name)
+add_unique_name(const char *names[], size_t n, size_t max, const char *name)
 {
     for (size_t i = 0; i < n; i++) {
         if (strcmp(names[i], name) == 0) {
@@ -495,17 +495,17 @@
 }
 
 size_t
-view_domains(const struct view *v, const char *names[], size_t max)
+view_list_domains(const struct view *v, const char *names[], size_t max)
 {
     struct view_domain *d;
     struct view_member *m;
     size_t n = 0;
 
     for (d = v->domains; d != NULL; d = d->hh.next) {
-        n = add_name(names, n, max, d->name);
+        n = add_unique_name(names, n, max, d->name);
     }
     for (m = v->members; m != NULL; m = m->hh.next) {
-        n = add_name(names, n, max, m->domain);
+        n = add_unique_name(names, n, max, m->domain);
     }
     return n;
 }
--- a/view.h
+++ b/view.h
@@ -40,9 +40,9 @@
 /* Partitions of the submission keys; fixed when the map is created. */
 #define VIEW_PARTS 1024
 /* Deletions remembered, so that peers can be sent changes only. */
-#define VIEW_DELETIONS 256
+#define VIEW_DELETIONS_MAX 256
 /* Losses of agents that a map tells of. */
-#define VIEW_LOSSES 64
+#define VIEW_LOSSES_MAX 64
 
 enum view_role { VIEW_ENTRY, VIEW_AGENT };
 
@@ -77,7 +77,7 @@
 
 struct view_domain {
     char name[CT_NAME_MAX];
-    bool in;
+    bool in_service;
     uint64_t mod;
     UT_hash_handle hh;
 };
@@ -112,9 +112,9 @@
     uint64_t map_mod;
     uint64_t map_epoch;
     struct view_part parts[VIEW_PARTS];
-    struct view_loss losses[VIEW_LOSSES];
+    struct view_loss losses[VIEW_LOSSES_MAX];
     size_t loss_count;
-    struct view_deletion deletions[VIEW_DELETIONS];
+    struct view_deletion deletions[VIEW_DELETIONS_MAX];
     size_t deletion_count;
     uint64_t deletion_floor;
 };
@@ -137,9 +137,10 @@
     const struct view *v, struct str name);
 const struct view_kv *view_kv(const struct view *v, const char *key);
 /* A failure domain that nobody wrote about is in service. */
-bool view_domain_in(const struct view *v, const char *name);
+bool view_domain_in_service(const struct view *v, const char *name);
 /* All failure domains known, in service or not. */
-size_t view_domains(const struct view *v, const char *names[], size_t max);
+size_t view_list_domains(
+    const struct view *v, const char *names[], size_t max);
 uint32_t view_partition(struct str customer, struct str key);
 
 /* JSON of a member or a map, as the store keeps it. */
