--- a/agent.c
+++ b/agent.c
@@ -33,14 +33,14 @@
 
 static void
 collect_outcome(
-    void *ctx, const struct rn_run *run, dw_end how, uint32_t ran_ms)
+    void *ctx, const struct rn_run *run, dw_end outcome, uint32_t ran_ms)
 {
     struct agent *a = ctx;
     struct ag_entry *e = find_entry(a, run->entry, false);
     dw_report *r;
     dw_run_end *end;
 
-    a->ops->run_ended(a->ctx, run, how, ran_ms);
+    a->ops->run_ended(a->ctx, run, outcome, ran_ms);
     if (e == NULL || !e->open || e->sess.number != run->session) {
         return;
     }
@@ -55,21 +55,21 @@
     end->ref.job = run->key.job;
     end->ref.index = (u_int)run->key.index;
     end->ref.run = run->key.run;
-    end->how = how;
+    end->how = outcome;
     end->ran_ms = ran_ms;
 }
 
-/* --- whom the room is for --- */
+/* --- distribution of free capacity --- */
 
-/* It was shown room that it wanted and has not used it: its tasks may not fit
- * or be gone. */
+/* The entry had capacity on offer and has not used it in time: its tasks may
+ * not fit, or may have been placed elsewhere or given up. */
 static bool
 is_offer_unused(const struct ag_entry *e, uint64_t now)
 {
     return e->offered_ms != 0 && now - e->offered_ms > AG_OFFER_MS;
 }
 
-/* Whether x is to have room before e, and how much. */
+/* Millicores of demand of x that are served before entry e, 0 if none. */
 static uint64_t
 claim_ahead(const struct ag_entry *x, const struct ag_entry *e, uint64_t now,
     int64_t free_millicores)
@@ -91,7 +91,7 @@
     return first ? x->demand.late : 0;
 }
 
-/* What of the free cores entry e may use. */
+/* The part of the free capacity that entry e may use. */
 static int64_t
 capacity_share(const struct agent *a, const struct ag_entry *e, uint64_t now,
     int64_t free_millicores)
@@ -123,7 +123,8 @@
     return room.serving ? room.free_millicores : 0;
 }
 
-/* It wants room, and there now is some for it that it has not been told of. */
+/* The entry has demand, and capacity for it is free that has not been reported
+ * to it. */
 static bool
 must_notify(const struct agent *a, const struct ag_entry *e, uint64_t now,
     int64_t free_millicores)
@@ -196,13 +197,13 @@
 
     for (m = sess_again(&e->sess, now, NULL); m != NULL;
          m = sess_again(&e->sess, now, m)) {
-        /* The room belongs to the acknowledgement that goes with it. */
+        /* The capacity must match the acknowledgement in the same message. */
         fill_report(a, now, e, &m->dw_msg_u.report);
         a->ops->send(a->ctx, e->id, m);
     }
 }
 
-/* --- the worker's calls go on to whoever carries them out --- */
+/* --- requests of the runner, passed to ag_ops --- */
 
 static void
 worker_start(void *ctx, const struct rn_run *run, const struct rn_terms *terms)
@@ -221,12 +222,12 @@
 }
 
 static void
-worker_poll(
-    void *ctx, const struct rn_poll_request *ask, const struct rn_terms *terms)
+worker_poll(void *ctx, const struct rn_poll_request *request,
+    const struct rn_terms *terms)
 {
     struct agent *a = ctx;
 
-    a->ops->worker.poll(a->ctx, ask, terms);
+    a->ops->worker.poll(a->ctx, request, terms);
 }
 
 static const struct rn_ops worker_ops = {
@@ -306,7 +307,7 @@
         a->runner.capacity_changed_ms = now;
     }
     else if (e->open && e->sess.fresh_ms == 0) {
-        send_heartbeat(a, now, e); /* so that the other learns our clock */
+        send_heartbeat(a, now, e); /* so that the entry learns our clock */
     }
 }
 
@@ -321,7 +322,7 @@
     }
 }
 
-/* When the entry was certainly alive last. */
+/* The latest time at which the entry was certainly alive. */
 static uint64_t
 last_alive(const struct ag_entry *e)
 {
@@ -362,15 +363,15 @@
     rn_tick(&a->runner, now);
 }
 
-/* An entry that is behind gets the ends of some ms in one report, as it would
- * not read them sooner one by one. */
+/* An overloaded entry gets the outcomes of some ms in one report; single
+ * reports would not be read any sooner. */
 static bool
 outcomes_due(const struct ag_entry *e, uint64_t now)
 {
     return now - e->sess.sent_ms >= e->demand.pause_ms / AG_OUTCOMES_DIVISOR;
 }
 
-/* Where much is free, changes of it decide little. */
+/* While much capacity is free, its changes hardly affect placement. */
 static bool
 is_scarce(const struct agent *a, int64_t free_millicores)
 {
--- a/agent.h
+++ b/agent.h
@@ -1,19 +1,22 @@
 /*
  * agent - entries' sessions with the agent of one worker
  *
- * Each entry has one session here.  When it falls silent or its process is
- * dead, its runs are stopped; ends go back by the session that ordered them.
- * Every report tells the room on the worker.
+ * Each entry has one session here.  When an entry falls silent or its process
+ * is dead, its runs are stopped; outcomes return by the session that ordered
+ * the runs.  Every report contains the worker's capacity.
  *
- * When there is more work than cores, each core that comes free would go to
- * the entry that hears of it first, which is the nearest: its late jobs before
- * those that could still be in time elsewhere.  So entries tell what they
- * could not place, and while that is more than the room, an agent shows room
- * to one that wants it: first for jobs that can be in time, and to the one
- * with most of them, which evens out their queues.
+ * Under overload, each core that comes free would go to the entry that learns
+ * of it first, which is the nearest one: its late jobs would run before jobs
+ * of other entries that can still meet their objective.  So entries report
+ * their demand (work that they could not place), and while demand exceeds
+ * free capacity, an agent offers capacity only to entries with demand: first
+ * for jobs that can meet their objective, and among those to the entry with
+ * the most of them, which balances the queues of the entries.
  *
- * An entry that is behind with its own work asks for fewer reports that only
- * tell a changed room, and gets ends of runs in fewer.
+ * An overloaded entry requests fewer reports that only show changed capacity,
+ * and gets outcomes of runs in fewer reports.
+ *
+ * Times are ms of this process's monotonic clock unless stated otherwise.
  */
 #ifndef AGENT_H
 #define AGENT_H
@@ -30,74 +33,84 @@
 extern "C" {
 #endif
 
-/* ms between reports to one entry that only tell a changed room, for each
- * entry there is: what all entries cost stays the same. */
+/* Minimum ms between reports to one entry that only show changed capacity, per
+ * entry with an open session: the total cost of reports stays the same. */
 #define AG_CAPACITY_MS_PER_ENTRY 5U
-/* From this part of the cores free on, room is told with the next beat. */
+/* With at least 1/AG_AMPLE_DIVISOR of the cores free, a change of capacity is
+ * reported with the next heartbeat only. */
 #define AG_AMPLE_DIVISOR 3
-/* Ends wait for this part of the pause that an entry asks for. */
+/* Outcomes are held back for 1/AG_OUTCOMES_DIVISOR of the pause between
+ * reports that an entry requests. */
 #define AG_OUTCOMES_DIVISOR 4U
-/* ms after its session that an entry is forgotten; messages of an earlier
- * session are too old to be taken long before. */
+/* ms after the end of its session until an entry is forgotten; messages of
+ * that session are rejected as too old long before. */
 #define AG_FORGET_MS 60000U
 
-/* ms after which room that an entry wanted, was shown and did not use is
- * shown to others again; a round trip takes 2 to 6. */
+/* ms after which capacity that was offered to an entry with demand and not
+ * used is offered to others; a round trip takes 2 to 6. */
 #define AG_OFFER_MS 20U
 
-/* One entry, as the agent sees it. */
+/* An entry and its session with this agent. */
 struct ag_entry {
     uint64_t id;
     struct sess sess;
-    uint64_t
-        newest_session; /* session number; an ended one is not begun again */
-    bool open;
+    uint64_t newest_session; /* highest number seen; lower ones stay ended */
+    bool open;               /* the session has begun and not ended */
     uint64_t opened_ms;
     uint64_t closed_ms;
-    dw_want demand;
-    int64_t reported_millicores; /* free, as told last */
-    uint64_t
-        offered_ms; /* since when it has room that it wants; 0: it has not */
-    dw_msg *batch;  /* ends collected since the last flush */
+    dw_want demand;              /* as last reported by the entry */
+    int64_t reported_millicores; /* free, as last reported to the entry */
+    uint64_t offered_ms;         /* since when it has been offered capacity for
+                                    its demand; 0: no offer */
+    dw_msg *batch;               /* report with outcomes, not sent yet */
     UT_hash_handle hh;
 };
 
+/* Carries out what the agent decides. */
 struct ag_ops {
-    struct rn_ops worker; /* ended is not called */
+    struct rn_ops worker; /* requests to the worker; `ended` is not called */
+    /* Sends msg to an entry; it may be lost.  The agent keeps owning msg. */
     void (*send)(void *ctx, uint64_t to, const dw_msg *msg);
-    /* Nothing came from there for long: connect anew. */
+    /* Opens a new connection to an entry whose session expired in silence. */
     void (*reconnect)(void *ctx, uint64_t to);
+    /* For logs and counters: a run ended; it took ran_ms. */
     void (*run_ended)(
-        void *ctx, const struct rn_run *run, dw_end how, uint32_t ran_ms);
+        void *ctx, const struct rn_run *run, dw_end outcome, uint32_t ran_ms);
+    /* For logs: a session ended.  silent_ms is the time without a fresh
+     * message, 0 if the entry's process is dead. */
     void (*session_event)(
-        void *ctx, uint64_t entry, const char *what, uint64_t silent_ms);
+        void *ctx, uint64_t entry, const char *event, uint64_t silent_ms);
 };
 
 struct agent {
     const struct ag_ops *ops;
-    void *ctx;
+    void *ctx; /* passed to ops */
     struct runner runner;
     struct ag_entry *entries;
-    uint32_t open_count; /* of entries */
-    bool leaving;
+    uint32_t open_count; /* entries with an open session */
+    bool leaving;        /* shutting down */
 };
 
 void ag_init(
     struct agent *a, uint64_t now, const struct ag_ops *ops, void *ctx);
 void ag_free(struct agent *a);
+/* Handles a message from an entry; a new session number begins a session and
+ * ends the former one. */
 void ag_handle_orders(
     struct agent *a, uint64_t now, uint64_t from, const dw_orders *o);
-/* The entry's process is dead. */
+/* The entry's process is dead: ends its session. */
 void ag_entry_dead(struct agent *a, uint64_t now, uint64_t id);
+/* Sends what is due, ends expired sessions; call periodically. */
 void ag_tick(struct agent *a, uint64_t now);
-/* Send what was collected. */
+/* Sends collected outcomes and changed capacity; call after each event. */
 void ag_flush(struct agent *a, uint64_t now);
+/* Begins shutdown: starts nothing more and reports that to all entries. */
 void ag_leave(struct agent *a, uint64_t now);
 
 /* Queries. */
-/* Nothing runs, and everybody was told of every end. */
+/* Nothing runs, and every outcome has been acknowledged. */
 bool ag_done(const struct agent *a, uint64_t now);
-/* Entries that are remembered, open or not. */
+/* Entries remembered, with an open session or without. */
 size_t ag_entry_count(const struct agent *a);
 
 #ifdef __cplusplus
--- a/runner.h
+++ b/runner.h
@@ -141,7 +141,7 @@
 struct rn_poll {
     uint64_t sent_ms; /* when the poll was sent */
     bool immediate;   /* sent beside the poll that waits for an outcome */
-    bool ok;          /* answered; valid fields follow unreachable */
+    bool ok; /* answered; if not, fields below unreachable are unset */
     bool unreachable; /* failed as no connection could be made */
     uint64_t worker_clock_ms;
     uint64_t incarnation; /* start time of the worker's program, ms */
@@ -272,7 +272,7 @@
     struct runner *r, uint64_t now, const struct rn_key *key, bool answered);
 void rn_poll_answered(
     struct runner *r, uint64_t now, const struct rn_poll *poll);
-/* Sends what is due: polls, repeated stops, starts; call every few ms. */
+/* Sends what is due: polls, repeated stops, starts; call periodically. */
 void rn_tick(struct runner *r, uint64_t now);
 
 /* Queries. */
--- a/test/agent-test.cc
+++ b/test/agent-test.cc
@@ -21,23 +21,23 @@
 }
 
 void
-no_look(void *, const rn_poll_request *, const rn_terms *)
+no_poll(void *, const rn_poll_request *, const rn_terms *)
 {
 }
 
-/* What entries were told last. */
-struct Told {
+/* Reports sent, and the free capacity last reported to each entry. */
+struct Recorder {
     size_t sent = 0;
     std::map<uint64_t, int> free_millicores;
 };
 
 void
-note_sent(void *ctx, uint64_t to, const dw_msg *m)
+record_sent(void *ctx, uint64_t to, const dw_msg *m)
 {
-    Told *t = static_cast<Told *>(ctx);
+    Recorder *r = static_cast<Recorder *>(ctx);
 
-    t->sent++;
-    t->free_millicores[to] = m->dw_msg_u.report.room.free_millicores;
+    r->sent++;
+    r->free_millicores[to] = m->dw_msg_u.report.room.free_millicores;
 }
 
 void
@@ -55,24 +55,24 @@
 {
 }
 
-const ag_ops ops = {{no_start, no_stop, no_look, nullptr}, note_sent,
+const ag_ops ops = {{no_start, no_stop, no_poll, nullptr}, record_sent,
     no_reconnect, no_end, no_session};
 
 struct Sessions {
     agent a;
     uint64_t now = 1000;
-    Told told;
+    Recorder recorded;
 
     Sessions()
     {
-        ag_init(&a, now, &ops, &told);
+        ag_init(&a, now, &ops, &recorded);
     }
     ~Sessions()
     {
         ag_free(&a);
     }
     void
-    beat(uint64_t entry, dw_want want = {0, 0, 0, 0})
+    heartbeat(uint64_t entry, dw_want demand = {0, 0, 0, 0})
     {
         dw_orders o;
 
@@ -80,53 +80,53 @@
         o.head.session = 7;
         o.head.clock_ms = now;
         o.head.echo_ms = now;
-        o.want = want;
+        o.want = demand;
         ag_handle_orders(&a, now, entry, &o);
     }
-    /* A worker of 10 cores that is known and has so many free. */
+    /* Makes the worker one of 10 cores with the given part free. */
     void
-    room(int64_t free_millicores)
+    set_free(int64_t free_millicores)
     {
         if (!a.runner.capacity_known) {
-            rn_poll l = {};
+            rn_poll p = {};
 
             rn_set_capacity(&a.runner, now, 10000, 1000, 0, 5);
-            l.sent_ms = now;
-            l.ok = true;
-            l.worker_clock_ms = 1;
-            l.incarnation = 5;
+            p.sent_ms = now;
+            p.ok = true;
+            p.worker_clock_ms = 1;
+            p.incarnation = 5;
             now++;
-            rn_poll_answered(&a.runner, now, &l);
+            rn_poll_answered(&a.runner, now, &p);
         }
         a.runner.used_millicores = 10000 - free_millicores;
         a.runner.capacity_changed_ms = now;
     }
-    /* What a flush lets an entry hear; -1 if nothing. */
+    /* Free capacity that the last flush reported to an entry; -1 if none. */
     int
-    hears(uint64_t entry)
+    reported(uint64_t entry)
     {
-        return told.free_millicores.count(entry) != 0
-                   ? told.free_millicores[entry]
+        return recorded.free_millicores.count(entry) != 0
+                   ? recorded.free_millicores[entry]
                    : -1;
     }
     void
     flush()
     {
-        told.free_millicores.clear();
+        recorded.free_millicores.clear();
         ag_flush(&a, now);
     }
 };
 
 } // namespace
 
-/* Entries are replaced all the time, each under a new id: an agent that
- * remembered all would tell its room less often each day. */
-TEST(Agent, EntriesThatAreGoneAreForgotten)
+/* Entries are replaced all the time, each under a new id: if an agent counted
+ * all of them, it would report its capacity less often every day. */
+TEST(Agent, EndedEntriesAreForgotten)
 {
     Sessions s;
 
     for (uint64_t entry = 1; entry <= 500; entry++) {
-        s.beat(entry);
+        s.heartbeat(entry);
         EXPECT_EQ(s.a.open_count, 1u);
         s.now += SESS_LEASE_MS + 1;
         ag_tick(&s.a, s.now);
@@ -138,12 +138,12 @@
     EXPECT_EQ(ag_entry_count(&s.a), 0u);
 }
 
-TEST(Agent, AnEntryOfTwoSessionsCountsOnce)
+TEST(Agent, EntryWithTwoSessionsCountsOnce)
 {
     Sessions s;
     dw_orders o;
 
-    s.beat(1);
+    s.heartbeat(1);
     memset(&o, 0, sizeof(o));
     o.head.session = 8;
     ag_handle_orders(&s.a, s.now, 1, &o);
@@ -152,116 +152,116 @@
     EXPECT_EQ(s.a.open_count, 0u);
 }
 
-/* The nearest entry takes each core that comes free and gives it to its late
- * jobs, as it hears of it first; the jobs of another, which could still be in
- * time, wait until they are late as well. */
-TEST(Agent, RoomIsShownFirstToWhomItCanServeInTime)
+/* Guards against the nearest entry taking each core that comes free for its
+ * late jobs, as it learns of it first, while jobs of another entry that can
+ * still meet their objective wait until they are late as well. */
+TEST(Agent, CapacityIsOfferedFirstToJobsThatCanMeetTheirObjective)
 {
     Sessions s;
 
-    s.room(0);
-    s.beat(1, {0, 20000, 2000, 0});
-    s.beat(2, {4000, 0, 2000, 0});
-    s.beat(3);
+    s.set_free(0);
+    s.heartbeat(1, {0, 20000, 2000, 0});
+    s.heartbeat(2, {4000, 0, 2000, 0});
+    s.heartbeat(3);
     s.flush();
     s.now++;
-    s.room(4000);
+    s.set_free(4000);
     s.flush();
-    EXPECT_EQ(s.hears(2), 4000);
-    EXPECT_LE(s.hears(1), 0);
-    EXPECT_LE(s.hears(3), 0);
+    EXPECT_EQ(s.reported(2), 4000);
+    EXPECT_LE(s.reported(1), 0);
+    EXPECT_LE(s.reported(3), 0);
 }
 
-TEST(Agent, WhoHasMostWaitingComesFirst)
+TEST(Agent, EntryWithMostDemandComesFirst)
 {
     Sessions s;
 
-    s.room(0);
-    s.beat(1, {3000, 0, 1000, 0});
-    s.beat(2, {9000, 0, 1000, 0});
+    s.set_free(0);
+    s.heartbeat(1, {3000, 0, 1000, 0});
+    s.heartbeat(2, {9000, 0, 1000, 0});
     s.flush();
     s.now++;
-    s.room(10000);
+    s.set_free(10000);
     s.flush();
-    EXPECT_EQ(s.hears(2), 10000);
-    EXPECT_EQ(s.hears(1), 1000);
+    EXPECT_EQ(s.reported(2), 10000);
+    EXPECT_EQ(s.reported(1), 1000);
 }
 
-/* Cores stand idle: the entry that they are shown to has only tasks that do
- * not fit, or none any more, and the others are not told. */
-TEST(Agent, RoomThatIsNotUsedGoesToOthers)
+/* Guards against idle cores: the entry that they are offered to has no task
+ * left that fits, and they are not reported to the others. */
+TEST(Agent, UnusedCapacityIsOfferedToOthers)
 {
     Sessions s;
 
-    s.room(0);
-    s.beat(1, {20000, 0, 6000, 0});
-    s.beat(2, {0, 2000, 1000, 0});
+    s.set_free(0);
+    s.heartbeat(1, {20000, 0, 6000, 0});
+    s.heartbeat(2, {0, 2000, 1000, 0});
     s.flush();
     s.now++;
-    s.room(2000); /* too little for entry 1 */
+    s.set_free(2000); /* too little for entry 1 */
     s.flush();
-    EXPECT_EQ(s.hears(2), 2000);
-    s.room(6000);
+    EXPECT_EQ(s.reported(2), 2000);
+    s.set_free(6000);
     s.flush();
-    EXPECT_EQ(s.hears(1), 6000);
+    EXPECT_EQ(s.reported(1), 6000);
     s.now += AG_OFFER_MS + 1;
     s.flush();
-    EXPECT_EQ(s.hears(2), 6000);
+    EXPECT_EQ(s.reported(2), 6000);
 }
 
-TEST(Agent, WhileNobodyWaitsAllSeeTheRoom)
+TEST(Agent, CapacityIsReportedToAllWithoutDemand)
 {
     Sessions s;
 
-    s.room(7000);
-    s.beat(1);
-    s.beat(2);
+    s.set_free(7000);
+    s.heartbeat(1);
+    s.heartbeat(2);
     s.now += 50;
-    s.room(7000);
+    s.set_free(7000);
     s.flush();
-    EXPECT_EQ(s.hears(1), 7000);
-    EXPECT_EQ(s.hears(2), 7000);
+    EXPECT_EQ(s.reported(1), 7000);
+    EXPECT_EQ(s.reported(2), 7000);
 }
 
-/* An entry spends most of its time on reports of room that changes and is
- * not short. */
-TEST(Agent, AmpleRoomIsToldWithTheNextBeatScarceRoomSoon)
+/* Guards against an entry that spends most of its time reading reports of
+ * changes while capacity is not scarce. */
+TEST(Agent, AmpleCapacityIsReportedWithTheNextHeartbeatScarceCapacitySoon)
 {
     Sessions s;
 
-    s.room(9000);
-    s.beat(1);
+    s.set_free(9000);
+    s.heartbeat(1);
     s.now += SESS_BEAT_MS;
     s.flush();
-    s.room(8000);
+    s.set_free(8000);
     s.now += 2 * AG_CAPACITY_MS_PER_ENTRY;
     s.flush();
-    EXPECT_EQ(s.hears(1), -1);
+    EXPECT_EQ(s.reported(1), -1);
     s.now += SESS_BEAT_MS;
     s.flush();
-    EXPECT_EQ(s.hears(1), 8000);
+    EXPECT_EQ(s.reported(1), 8000);
     s.now++;
-    s.room(2000);
+    s.set_free(2000);
     s.now += 2 * AG_CAPACITY_MS_PER_ENTRY;
     s.flush();
-    EXPECT_EQ(s.hears(1), 2000);
+    EXPECT_EQ(s.reported(1), 2000);
 }
 
-/* An entry that is behind reads what it could do without. */
-TEST(Agent, AnEntryThatIsBehindIsToldLessOften)
+/* Guards against an overloaded entry that reads reports of little use. */
+TEST(Agent, OverloadedEntryGetsFewerReports)
 {
     Sessions s;
 
-    s.room(3000);
-    s.beat(1, {0, 0, 0, 100});
+    s.set_free(3000);
+    s.heartbeat(1, {0, 0, 0, 100});
     s.now += SESS_BEAT_MS;
     s.flush();
     s.now++;
-    s.room(2000);
+    s.set_free(2000);
     s.now += 50;
     s.flush();
-    EXPECT_EQ(s.hears(1), -1);
+    EXPECT_EQ(s.reported(1), -1);
     s.now += 50;
     s.flush();
-    EXPECT_EQ(s.hears(1), 2000);
+    EXPECT_EQ(s.reported(1), 2000);
 }
