--- a/view.c
+++ b/view.c
@@ -186,12 +186,12 @@
 static void
 apply_domain(struct view *v, struct str name, struct str value, uint64_t mod)
 {
-    char z[CT_NAME_MAX];
+    char domain[CT_NAME_MAX];
     struct view_domain *d;
     json_t *o;
 
-    str_copy(z, sizeof(z), name);
-    HASH_FIND_STR(v->domains, z, d);
+    str_copy(domain, sizeof(domain), name);
+    HASH_FIND_STR(v->domains, domain, d);
     if (value.p == NULL) {
         if (d != NULL) {
             HASH_DEL(v->domains, d);
@@ -341,31 +341,31 @@
     drop_kv(v, kv);
 }
 
-/* Delete what a whole state does not list. */
+/* Deletes the keys that a complete state does not list. */
 static void
 delete_unlisted(struct view *v, const dw_state *s)
 {
-    struct view fresh;
+    struct view listing;
     struct view_kv *kv;
     struct view_kv *tmp;
 
-    view_init(&fresh);
+    view_init(&listing);
     for (u_int i = 0; i < s->kvs.kvs_len; i++) {
         struct str key = str_bytes(&s->kvs.kvs_val[i].key);
         struct view_kv *listed = dw_zero(1, sizeof(*listed));
 
         listed->key = str_dup(key);
-        HASH_ADD_KEYPTR(hh, fresh.kvs, listed->key, key.n, listed);
+        HASH_ADD_KEYPTR(hh, listing.kvs, listed->key, key.n, listed);
     }
     HASH_ITER (hh, v->kvs, kv, tmp) {
         struct view_kv *found;
 
-        HASH_FIND(hh, fresh.kvs, kv->key, strlen(kv->key), found);
+        HASH_FIND(hh, listing.kvs, kv->key, strlen(kv->key), found);
         if (found == NULL) {
             apply_delete(v, str_of(kv->key), s->rev);
         }
     }
-    view_free(&fresh);
+    view_free(&listing);
 }
 
 bool
@@ -430,13 +430,13 @@
         }
     }
     for (size_t i = 0; i < v->deletion_count && !s->whole; i++) {
-        struct view_kv *again;
+        struct view_kv *live;
 
         if (v->deletions[i].rev <= since) {
             continue;
         }
-        HASH_FIND_STR(v->kvs, v->deletions[i].key, again);
-        if (again == NULL) {
+        HASH_FIND_STR(v->kvs, v->deletions[i].key, live);
+        if (live == NULL) {
             fill_kv(&s->kvs.kvs_val[n++], v->deletions[i].key, NULL,
                 v->deletions[i].rev);
         }
