--- a/member.c
+++ b/member.c
@@ -3,10 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An update is sent this often times log2 of the number of peers. */
+/* An update is sent this many times the log2 of the number of peers. */
 #define UPDATE_SENDS_FACTOR 3
 #define UPDATES_MAX 8
-/* Between two looks for suspects whose time is up. */
+/* ms between checks for suspects to declare dead. */
 #define SUSPECT_CHECK_MS 50
 
 void
@@ -132,10 +132,10 @@
 }
 
 /*
- * A process that was held dead, removed and has entered itself again is
- * still called dead by the gossip of those who have not seen that yet; it
- * would be removed a second time.  Rounds begin at the revision of the entry,
- * so what was said of an earlier entry is always out of date.
+ * When a process was declared dead, removed and has registered again, gossip
+ * of processes that do not know this yet still reports it dead; it would be
+ * removed a second time.  Incarnations start at the modification revision of
+ * the process's key, so reports on an earlier registration are outdated.
  */
 static void
 update_peer(struct mbr *m, const struct view_member *vm, uint64_t now)
@@ -190,7 +190,8 @@
     u->load = p->load;
 }
 
-/* Our own update, what the receiver must know of itself, then fresh news. */
+/* Our own update, the receiver's if we hold it not alive, so that it can
+ * refute that, then updates with sends left. */
 static void
 fill_updates(struct mbr *m, uint64_t to, dw_ping *ping)
 {
@@ -309,9 +310,9 @@
 }
 
 /*
- * After a pause of this process its answers wait unread while its timers
- * have run out: it would hold the whole fleet dead at once.  So every
- * suspicion starts anew; whoever is really dead is found one period later.
+ * After a pause of this process, answers wait unread while its timers have
+ * expired: it would declare all peers dead at once.  So every suspicion starts
+ * again; a process that is really dead is detected one period later.
  */
 static void
 restart_suspicions(struct mbr *m, uint64_t now)
@@ -472,7 +473,7 @@
 {
     dw_ping *ping = send_ping(m, id, DW_PING, out);
 
-    /* No probe has this number, so the answer ends none. */
+    /* No probe has this number, so the answer completes none. */
     ping->seq = 0;
     ping->target = id;
     ping->origin = m->self;
--- a/member.h
+++ b/member.h
@@ -1,10 +1,11 @@
 /*
  * member - failure detection and gossip between all processes (SWIM)
  *
- * Each period a process pings one other; without an answer it asks a few to
- * ping in its place, then suspects, then holds the process dead.  A process
- * that hears it is suspected refutes with a higher round.  Every message
- * carries a few updates: state, load, revision.
+ * Each period a process pings one other.  Without an answer it asks a few
+ * others to ping that process, then suspects it, and finally declares it dead.
+ * A process that learns that it is suspected refutes this with a higher
+ * incarnation (field round of messages).  Every message carries a few updates:
+ * state, load and view revision.
  *
  * Source: Das, Gupta, Motivala: SWIM, DSN 2002.
  */
@@ -22,66 +23,72 @@
 extern "C" {
 #endif
 
+/* Settings. */
 struct mbr_cfg {
-    uint32_t period_ms;  /* one ping each */
-    uint32_t timeout_ms; /* then others are asked to ping */
-    uint32_t suspect_ms; /* from suspect to dead */
-    uint32_t fanout;     /* how many others are asked */
+    uint32_t period_ms;  /* between pings to one process after another */
+    uint32_t timeout_ms; /* without an answer until others are asked to ping */
+    uint32_t suspect_ms; /* from suspected to declared dead */
+    uint32_t fanout;     /* number of others asked to ping */
 };
 
+/* Another process that the view lists. */
 struct mbr_peer {
     uint64_t id;
-    uint32_t incarnation;
-    uint64_t mod; /* of its entry in the view */
+    uint32_t incarnation; /* that `state` refers to */
+    uint64_t mod;         /* modification revision of its key in the view */
     dw_alive state;
-    bool conn_refused; /* dead for certain: its port refuses connections */
+    bool conn_refused; /* certainly dead: its port refused a connection */
     uint64_t state_since_ms;
-    uint64_t heard_ms;
-    uint64_t rev;
-    dw_load load;
+    uint64_t heard_ms; /* last update from the process itself */
+    uint64_t rev;      /* its view's revision, as of heard_ms */
+    dw_load load;      /* as of heard_ms */
     bool have_load;
-    uint32_t sends_left;
+    uint32_t sends_left; /* messages that its update still goes with */
     UT_hash_handle hh;
 };
 
 struct mbr {
     struct mbr_cfg cfg;
-    uint64_t self;
-    uint32_t incarnation;
-    uint64_t rev;
-    dw_load load;
+    uint64_t self;        /* id of this process */
+    uint32_t incarnation; /* of this process */
+    uint64_t rev;         /* our view's revision; set by the caller */
+    dw_load load;         /* our load; set by the caller */
     struct mbr_peer *peers;
-    uint64_t *probe_order;
+    uint64_t *probe_order; /* ids of all peers, shuffled */
     size_t probe_order_count;
     size_t probe_order_next;
     uint64_t random_state;
-    uint32_t seq;
-    uint64_t probe_target;
-    uint64_t probe_ms;
-    bool indirect_sent;
+    uint32_t seq;          /* of the newest probe; see mbr_request_load() */
+    uint64_t probe_target; /* whose answer is awaited; 0: none */
+    uint64_t probe_ms;     /* when the newest probe was due */
+    bool indirect_sent;    /* others were asked to ping probe_target */
     uint64_t last_tick_ms;
     uint64_t suspects_checked_ms;
-    uint64_t state_version; /* goes up whenever a state changes */
+    uint64_t state_version; /* incremented whenever a peer's state changes */
 };
 
 void mbr_init(
     struct mbr *m, const struct mbr_cfg *cfg, uint64_t self, uint64_t seed);
 void mbr_free(struct mbr *m);
 
-/* Follow the view's list of members. */
+/* Adopts the view's list of members. */
 void mbr_update_members(struct mbr *m, const struct view *v, uint64_t now);
-/* Ping, suspect, declare dead.  Returns true if a peer's state changed. */
+/* Sends due pings, suspects peers and declares them dead.  Returns true if a
+ * peer's state changed. */
 bool mbr_tick(struct mbr *m, uint64_t now, struct acts *out);
-/* Handle a ping, its answer or a request to ping; true as above. */
+/* Handles DW_PING, DW_PING_ACK and DW_PING_REQ.  Returns true if a peer's
+ * state changed. */
 bool mbr_handle_message(struct mbr *m, uint64_t now, uint64_t from,
     const dw_msg *msg, struct acts *out);
-/* The peer's port refused a connection: its process is gone. */
+/* The peer's port refused a connection, so its process is dead.  Returns true
+ * if its state changed. */
 bool mbr_conn_refused(struct mbr *m, uint64_t now, uint64_t id);
-/* Ask a peer for its load; its answer is an ordinary DW_PING_ACK. */
+/* Requests a peer's load; it arrives with an ordinary DW_PING_ACK. */
 void mbr_request_load(struct mbr *m, uint64_t id, struct acts *out);
 
-/* Queries.  A process not known is dead; this one is alive. */
+/* Queries.  An unknown process counts as dead, this one as alive. */
 dw_alive mbr_state(const struct mbr *m, uint64_t id);
+/* NULL if not known. */
 const struct mbr_peer *mbr_peer(const struct mbr *m, uint64_t id);
 
 #ifdef __cplusplus
--- a/test/member-test.cc
+++ b/test/member-test.cc
@@ -1,4 +1,4 @@
-/* Membership: who is held dead, and what follows. */
+/* Membership: which processes are declared dead, and the consequences. */
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -26,9 +26,10 @@
     return false;
 }
 
-/* An agent is paused, held dead and removed, then goes on and enters itself
- * again.  Gossip that still calls it dead must not get it removed twice. */
-TEST(Member, ReturnsForGoodAfterAPause)
+/* An agent is paused, declared dead and removed; then it resumes and registers
+ * again.  Guards against a second removal by gossip that still reports it
+ * dead. */
+TEST(Member, AgentRemovedDuringAPauseRegistersOnce)
 {
     for (uint64_t seed = 1; seed <= 8; seed++) {
         Fleet f(seed, 3, 10);
@@ -52,9 +53,9 @@
     }
 }
 
-/* An owner dies while another agent, which holds start records, is paused
- * and off the list.  Keys that may have run are answered unknown until that
- * agent is back and has told its records; then they are sure again. */
+/* An owner dies while another agent that holds start records is paused and
+ * removed.  Keys that may have run are answered as unknown until that agent
+ * has returned and sent its records; then answers are definite again. */
 TEST(Member, ReturningHostMakesRecordsCompleteAgain)
 {
     Fleet f(3);
@@ -66,9 +67,9 @@
     f.run(1000);
 
     Proc *owner = f.proc_of(f.owner_of("one", "old"));
-    size_t gone = f.index_of(*owner) == 2 ? 3 : 2;
+    size_t paused = f.index_of(*owner) == 2 ? 3 : 2;
 
-    f.pause(gone, 14000);
+    f.pause(paused, 14000);
     f.run(5000);
     f.crash(f.index_of(*owner));
     f.run(8000);
@@ -87,9 +88,9 @@
     EXPECT_EQ(f.faults_text(), "");
 }
 
-/* A process is cut off from all others but still reaches the store.  It holds
- * everybody dead; it must not take them off the list. */
-TEST(Member, WhoHearsNoMajorityRemovesNobody)
+/* A process is cut off from all others but still reaches the store.  It
+ * declares all of them dead, but must not remove them from the store. */
+TEST(Member, ProcessWithoutAMajorityRemovesNobody)
 {
     for (uint64_t seed = 1; seed <= 3; seed++) {
         Fleet f(seed);
@@ -102,7 +103,7 @@
                 lowest = i;
             }
         }
-        int entered = 0;
+        int registrations = 0;
         bool was = true;
 
         f.cut_off(lowest);
@@ -110,7 +111,7 @@
             f.run(10);
             bool is = f.procs[lowest]->n.was_listed;
 
-            entered += is && !was;
+            registrations += is && !was;
             was = is;
         }
         for (size_t i = 0; i < f.procs.size(); i++) {
@@ -121,7 +122,7 @@
                     << f.procs[i]->name << " seed " << seed;
             }
         }
-        /* Nor does it enter itself over and over. */
-        EXPECT_LE(entered, 7) << "seed " << seed;
+        /* Nor may it register itself again and again. */
+        EXPECT_LE(registrations, 7) << "seed " << seed;
     }
 }
