--- a/sync.c
+++ b/sync.c
@@ -5,11 +5,12 @@
 
 #define READERS_MIN 2
 #define READERS_MAX 16
-/* A puller silent for longer gets no pushes. */
+/* ms after its last pull until a process gets no more pushes. */
 #define PULLER_TIMEOUT_MS 5000
 #define PULLS_UNANSWERED_MAX 3
-/* Readers ask those of other domains more seldom than members ask them:
- * changes are pushed, and during an outage once a second is enough. */
+/* Readers pull from other failure domains less often, by this factor, than
+ * members pull from readers: changes are pushed, and during an outage once a
+ * second is enough. */
 #define DOMAIN_PULL_FACTOR 2
 
 void
@@ -64,14 +65,15 @@
     best[i] = m;
 }
 
-/* The readers of a failure domain, chosen alike by all who see it alike. */
+/* Selects the readers of a failure domain; all processes with the same view
+ * and membership select the same ones. */
 static size_t
 select_readers(const struct sync *s, const char *domain,
     const struct view_member *best[READERS_MAX])
 {
     const struct view_member *m;
     size_t members = 0;
-    size_t want;
+    size_t wanted;
     size_t n = 0;
 
     for (m = s->view->members; m != NULL; m = m->hh.next) {
@@ -81,9 +83,9 @@
             insert_reader(best, READERS_MAX, &n, m);
         }
     }
-    want = (members + s->cfg.per_reader - 1) / s->cfg.per_reader;
-    want = want < READERS_MIN ? READERS_MIN : want;
-    return n < want ? n : want;
+    wanted = (members + s->cfg.per_reader - 1) / s->cfg.per_reader;
+    wanted = wanted < READERS_MIN ? READERS_MIN : wanted;
+    return n < wanted ? n : wanted;
 }
 
 static bool
@@ -97,7 +99,7 @@
             return true;
         }
     }
-    /* Nobody can read for a process that the view does not list yet. */
+    /* A process that the view does not list yet reads for itself. */
     return view_member(s->view, s->self) == NULL;
 }
 
@@ -175,7 +177,8 @@
     return x < y ? 1 : x > y ? -1 : 0;
 }
 
-/* The value that a majority of n reaches or passes; 0 if too few have one. */
+/* The highest value that a majority of `total` reaches, given n values; 0 if n
+ * is no majority. */
 static uint64_t
 majority_value(uint64_t *values, size_t n, size_t total)
 {
@@ -189,15 +192,16 @@
 }
 
 /*
- * During an outage of the store only what a majority tells may keep work
- * going: a change counts as accepted once readers in a majority of domains
- * hold it, and the two majorities share a reader that would have told us.
+ * During an outage of the store, only reports of a majority may allow work to
+ * continue: a change counts as accepted once readers in a majority of failure
+ * domains hold it, and the two majorities share a reader that would have
+ * reported the change.
  */
 static void
 confirm_by_outage(struct sync *s, uint64_t now)
 {
     const char *names[SYNC_DOMAINS_MAX];
-    uint64_t heard[SYNC_DOMAINS_MAX];
+    uint64_t confirmed_at[SYNC_DOMAINS_MAX];
     size_t total = view_list_domains(s->view, names, SYNC_DOMAINS_MAX);
     size_t n = 0;
     uint64_t at;
@@ -209,13 +213,13 @@
         const struct sync_domain *e = find_domain(s, names[i]);
 
         if (strcmp(names[i], s->domain) == 0) {
-            heard[n++] = now;
+            confirmed_at[n++] = now;
         }
         else if (e != NULL && e->store_down && e->rev <= s->view->rev) {
-            heard[n++] = e->pull_sent_ms;
+            confirmed_at[n++] = e->pull_sent_ms;
         }
     }
-    at = majority_value(heard, n, total);
+    at = majority_value(confirmed_at, n, total);
     if (at > 0) {
         confirm(s, at);
     }
@@ -262,7 +266,7 @@
     send_pull(s, now, id, true, out);
 }
 
-/* A silent reader is passed over after a few questions. */
+/* After PULLS_UNANSWERED_MAX pulls without an answer, uses another reader. */
 static void
 pull_reader(struct sync *s, uint64_t now, struct acts *out)
 {
@@ -307,15 +311,15 @@
 }
 
 static void
-read_store(struct sync *s, uint64_t now, enum act_read what, struct acts *out)
+read_store(struct sync *s, uint64_t now, enum act_read scope, struct acts *out)
 {
     if (s->read_pending) {
-        s->read_again |= what == ACT_READ_ALL;
+        s->read_again |= scope == ACT_READ_ALL;
         return;
     }
     s->read_pending = true;
     s->last_read_ms = now;
-    act_ref(out, ACT_READ, what);
+    act_ref(out, ACT_READ, scope);
 }
 
 void
@@ -354,12 +358,12 @@
 
 void
 sync_store_checked(
-    struct sync *s, uint64_t asked_ms, uint64_t rev, struct acts *out)
+    struct sync *s, uint64_t requested_ms, uint64_t rev, struct acts *out)
 {
     s->read_pending = false;
     s->store_down = false;
     if (rev <= s->view->rev) {
-        confirm(s, asked_ms);
+        confirm(s, requested_ms);
     }
     if (rev > s->view->rev || s->read_again) {
         s->read_again = false;
@@ -368,7 +372,7 @@
 }
 
 bool
-sync_store_read(struct sync *s, uint64_t now, uint64_t asked_ms,
+sync_store_read(struct sync *s, uint64_t now, uint64_t requested_ms,
     const dw_state *all, struct acts *out)
 {
     bool moved = view_apply(s->view, all);
@@ -380,7 +384,7 @@
         read_store(s, now, ACT_READ_ALL, out);
     }
     if (all->rev <= s->view->rev) {
-        confirm(s, asked_ms);
+        confirm(s, requested_ms);
     }
     return moved;
 }
@@ -449,8 +453,9 @@
     }
 }
 
-/* Another domain's reader: remember what it holds and how it finds the
- * store.  An answer to an older question than the last says nothing new. */
+/* Records the revision of another failure domain's reader and whether it
+ * reaches the store.  Answers to pulls older than the last answered one are
+ * ignored. */
 static void
 record_domain(struct sync *s, uint64_t from, const dw_state *st)
 {
