--- a/runner.c
+++ b/runner.c
@@ -7,21 +7,22 @@
 #include "num.h"
 
 /*
- * Two speeds are learned from the progress of runs.  The present one tells
- * within a tenth of a second that a worker has turned slow or stands still:
- * after PACE_MS of each run under way (at most PACE_RUNS of them) half of it
- * is new.  The usual one tells fast machines from slower ones; estimates are
- * off by 40 %, so it takes some hundred runs, and none from times in which the
+ * Two moving averages of speed are computed from the progress of runs.  The
+ * short-term pace shows within a tenth of a second that a worker has become
+ * slow or has stalled: after PACE_HALF_MS of each active run (at most
+ * PACE_RUNS_MAX of them) new observations make up half of it.  The long-term
+ * speed distinguishes fast machines from slow ones; as estimates are off by
+ * 40 %, it averages over some hundred runs, and leaves out times in which the
  * worker is slow.
  */
-#define PACE_MS 100U
-#define PACE_RUNS 6U
-#define USUAL_MS 8000U
-/* Added to the fence when the worker has seen a higher one, as after the
- * time of day was set back: more than clocks are set back by, in ms. */
-#define FENCE_LEAP 86400000U
-#define SPEED_MIN 50U
-#define SPEED_MAX 4000U
+#define PACE_HALF_MS 100U
+#define PACE_RUNS_MAX 6U
+#define USUAL_HALF_MS 8000U
+/* Added to the fence when the worker has seen a higher one, as happens when
+ * the time of day was set back; in ms, more than clocks are set back by. */
+#define FENCE_STEP 86400000U
+#define SPEED_MIN_PERMILLE 50U
+#define SPEED_MAX_PERMILLE 4000U
 
 void
 rn_init(struct runner *r, uint64_t now, const struct rn_ops *ops, void *ctx)
@@ -29,16 +30,16 @@
     *r = (struct runner){0};
     r->ops = ops;
     r->ctx = ctx;
-    r->begun_ms = now;
+    r->started_ms = now;
     r->speed_permille = 1000;
     r->pace_permille = 1000;
 }
 
 static void
-drop(struct runner *r, uint64_t now, struct rn_run *run)
+remove_run(struct runner *r, uint64_t now, struct rn_run *run)
 {
-    r->room_changed_ms = now;
-    r->recent[r->recent_at++ % RN_RECENT] = run->key;
+    r->capacity_changed_ms = now;
+    r->recent[r->recent_next++ % RN_RECENT_MAX] = run->key;
     if (run->state != RN_QUEUED) {
         r->used_millicores -= run->millicores;
         r->used_memory_mb -= run->memory_mb;
@@ -57,75 +58,78 @@
     struct rn_run *tmp;
 
     HASH_ITER (hh, r->runs, run, tmp) {
-        drop(r, 0, run);
+        remove_run(r, 0, run);
     }
 }
 
-/* A run has come so far since it was last seen. */
+/* Accounts for a run's progress since its last report. */
 static void
 note_progress(
     struct runner *r, uint64_t now, struct rn_run *run, uint32_t percent)
 {
-    if (percent < run->percent) {
+    if (percent < run->progress_percent) {
         return;
     }
-    r->work_us += (uint64_t)run->est_ms * (percent - run->percent) * 10;
-    r->work_ms += now - run->percent_ms;
-    run->percent = percent;
-    run->percent_ms = now;
+    r->work_est_us +=
+        (uint64_t)run->est_ms * (percent - run->progress_percent) * 10;
+    r->work_elapsed_ms += now - run->progress_ms;
+    run->progress_percent = percent;
+    run->progress_ms = now;
 }
 
-/* Half of the value is new after so many ms. */
+/* After half_ms of observation, `seen` makes up half of the value. */
 static uint32_t
-follow(uint32_t value, uint64_t seen, uint64_t ms, uint64_t half_ms)
+moving_average(uint32_t value, uint64_t seen, uint64_t ms, uint64_t half_ms)
 {
     return (uint32_t)((value * half_ms + seen * ms) / (half_ms + ms));
 }
 
-/* Speed is work done, as estimated, over the time it took. */
+/* Speed is estimated work done over the time it took. */
 static void
-learn_speed(struct runner *r)
+update_speed(struct runner *r)
 {
-    uint64_t runs = num_min(num_max(rn_active(r), 1), PACE_RUNS);
+    uint64_t runs = num_min(num_max(rn_active_count(r), 1), PACE_RUNS_MAX);
     uint64_t seen;
 
-    if (r->work_ms == 0) {
+    if (r->work_elapsed_ms == 0) {
         return;
     }
-    seen = num_max(num_min(r->work_us / r->work_ms, SPEED_MAX), SPEED_MIN);
-    r->pace_permille =
-        follow(r->pace_permille, seen, r->work_ms, runs * PACE_MS);
+    seen = num_max(
+        num_min(r->work_est_us / r->work_elapsed_ms, SPEED_MAX_PERMILLE),
+        SPEED_MIN_PERMILLE);
+    r->pace_permille = moving_average(
+        r->pace_permille, seen, r->work_elapsed_ms, runs * PACE_HALF_MS);
     if (2 * r->pace_permille > r->speed_permille) {
-        r->speed_permille =
-            follow(r->speed_permille, seen, r->work_ms, USUAL_MS);
+        r->speed_permille = moving_average(
+            r->speed_permille, seen, r->work_elapsed_ms, USUAL_HALF_MS);
     }
-    r->work_us = 0;
-    r->work_ms = 0;
+    r->work_est_us = 0;
+    r->work_elapsed_ms = 0;
 }
 
 static void
-finish(struct runner *r, uint64_t now, struct rn_run *run, dw_end how)
+finish_run(struct runner *r, uint64_t now, struct rn_run *run, dw_end outcome)
 {
     uint32_t ran_ms =
         run->started_ms != 0 ? (uint32_t)num_minus(now, run->started_ms) : 0;
 
-    if (how == DW_END_DONE) {
+    if (outcome == DW_END_DONE) {
         r->stats.done++;
         note_progress(r, now, run, 100);
     }
-    else if (how == DW_END_FAILED) {
+    else if (outcome == DW_END_FAILED) {
         r->stats.failed++;
     }
-    if (how == DW_END_DONE || how == DW_END_FAILED) {
+    if (outcome == DW_END_DONE || outcome == DW_END_FAILED) {
         r->fail_permille =
-            rn_fail_share(r->fail_permille, how == DW_END_FAILED);
+            rn_fail_average(r->fail_permille, outcome == DW_END_FAILED);
     }
-    r->ops->ended(r->ctx, run, how, ran_ms);
-    drop(r, now, run);
+    r->ops->ended(r->ctx, run, outcome, ran_ms);
+    remove_run(r, now, run);
 }
 
 static struct rn_run *
-find(struct runner *r, const struct rn_key *key)
+find_run(struct runner *r, const struct rn_key *key)
 {
     struct rn_run *run;
 
@@ -133,42 +137,43 @@
     return run;
 }
 
-/* --- the worker's clock and lease --- */
+/* --- worker's clock and lease --- */
 
-/* What the worker's clock shows at most. */
+/* Upper bound of what the worker's clock shows. */
 static uint64_t
 worker_clock(const struct runner *r, uint64_t now)
 {
-    return r->clock_ms + (now - r->clock_at_ms);
+    return r->worker_clock_ms + (now - r->worker_clock_at_ms);
 }
 
 static void
 note_clock(struct runner *r, uint64_t now, uint64_t clock_ms)
 {
     if (clock_ms != 0) {
-        r->clock_ms = clock_ms;
-        r->clock_at_ms = now;
+        r->worker_clock_ms = clock_ms;
+        r->worker_clock_at_ms = now;
     }
 }
 
-/* The time to renew until, in the worker's clock; from now on it may hold
- * our runs for that long. */
+/* Returns the new end of the lease by the worker's clock; until then the
+ * worker may keep our runs. */
 static uint64_t
-renewal(struct runner *r, uint64_t now)
+extend_lease(struct runner *r, uint64_t now)
 {
-    uint64_t since = now - r->clock_at_ms;
+    uint64_t since = now - r->worker_clock_at_ms;
     uint64_t slow = since * RN_DRIFT_PERCENT / 100;
 
-    r->lapse_ms = num_max(r->lapse_ms, now + RN_LAPSE_MS + slow);
+    r->lease_expiry_ms =
+        num_max(r->lease_expiry_ms, now + RN_LEASE_EXPIRY_MS + slow);
     return worker_clock(r, now) + RN_LEASE_MS;
 }
 
 /*
- * The lease holds for all runs together.  An entry counts the runs of an
- * ended session as over after RN_STOP_MS and one lease; if a stop gets lost,
- * renewing for the others would keep such a run alive beside its successor.
- * A worker that did not answer the last look may have started anew: a time
- * on its earlier clock could lie far ahead on the new one.
+ * One lease covers all runs.  An entry treats the runs of an ended session as
+ * over after RN_STOP_LIMIT_MS and one lease; if a stop gets lost, renewing
+ * the lease for other runs would keep such a run alive beside its successor.
+ * A worker that did not answer the last poll may have restarted: a time by
+ * its former clock could be far in the future by its new one.
  */
 static bool
 may_renew(const struct runner *r, uint64_t now)
@@ -176,20 +181,22 @@
     const struct rn_run *run;
 
     for (run = r->runs; run != NULL; run = run->hh.next) {
-        if (run->forced && now - run->forced_ms > RN_STOP_MS) {
+        if (run->session_ended &&
+            now - run->session_ended_ms > RN_STOP_LIMIT_MS) {
             return false;
         }
     }
-    return r->clock_ms != 0 && r->looks_failed == 0;
+    return r->worker_clock_ms != 0 && r->polls_failed == 0;
 }
 
 static void
-send_look(struct runner *r, uint64_t until_ms, uint32_t wait_ms, bool quick)
+send_poll(
+    struct runner *r, uint64_t until_ms, uint32_t wait_ms, bool immediate)
 {
     struct rn_terms terms = {until_ms, r->fence};
-    struct rn_ask ask = {r->ack, wait_ms, quick};
+    struct rn_poll_request request = {r->ack, wait_ms, immediate};
 
-    r->ops->look(r->ctx, &ask, &terms);
+    r->ops->poll(r->ctx, &request, &terms);
 }
 
 static void
@@ -201,37 +208,38 @@
 }
 
 static void
-look(struct runner *r, uint64_t now, uint32_t wait_ms)
+start_poll(struct runner *r, uint64_t now, uint32_t wait_ms)
 {
     uint64_t until =
-        may_renew(r, now) && rn_active(r) > 0 ? renewal(r, now) : 0;
+        may_renew(r, now) && rn_active_count(r) > 0 ? extend_lease(r, now) : 0;
 
-    r->look_ms = now;
-    r->asked_ms = now;
-    r->ack_asked = r->ack;
-    send_look(r, until, wait_ms, false);
+    r->poll_ms = now;
+    r->last_poll_ms = now;
+    r->ack_sent = r->ack;
+    send_poll(r, until, wait_ms, false);
 }
 
-/* What became of a start that was not answered is asked at once, beside the
- * look that waits for an end. */
+/* Finds out at once whether an unanswered start took effect; sent beside the
+ * poll that waits for an outcome. */
 static void
-look_quick(struct runner *r)
+poll_immediately(struct runner *r)
 {
-    if (!r->quick_out) {
-        r->quick_out = true;
-        send_look(r, 0, 0, true);
+    if (!r->immediate_pending) {
+        r->immediate_pending = true;
+        send_poll(r, 0, 0, true);
     }
 }
 
 /*
- * A worker that cannot be reached refuses faster than any other works: taken
- * for free, it would draw all tasks.  It gets none until a look succeeds.
+ * An unreachable worker fails starts faster than any other worker completes
+ * them: if it counted as free, it would attract all tasks.  It gets none
+ * until a poll succeeds.
  */
 static void
 set_silent(struct runner *r, uint64_t now)
 {
     r->silent = true;
-    r->room_changed_ms = now;
+    r->capacity_changed_ms = now;
 }
 
 /* --- starting --- */
@@ -244,9 +252,9 @@
            r->used_gpus + run->gpus <= r->gpus;
 }
 
-/* Another run of the same task is here and not certainly over. */
+/* Another run of the same task is active here. */
 static bool
-twin_active(const struct runner *r, const struct rn_run *run)
+task_active(const struct runner *r, const struct rn_run *run)
 {
     const struct rn_run *o;
 
@@ -260,29 +268,30 @@
 }
 
 static void
-start(struct runner *r, uint64_t now, struct rn_run *run)
+start_run(struct runner *r, uint64_t now, struct rn_run *run)
 {
     struct rn_terms terms = {0, r->fence};
 
     run->state = RN_STARTING;
     run->sent_ms = now;
-    run->percent_ms = now;
+    run->progress_ms = now;
     r->used_millicores += run->millicores;
     r->used_memory_mb += run->memory_mb;
     r->used_gpus += run->gpus;
     r->stats.started++;
-    terms.until_ms = renewal(r, now);
+    terms.lease_until_ms = extend_lease(r, now);
     r->ops->start(r->ctx, run, &terms);
 }
 
 static bool
-ends_in_time(const struct runner *r, uint64_t now, const struct rn_run *run)
+ends_before_exit(
+    const struct runner *r, uint64_t now, const struct rn_run *run)
 {
-    return r->leaves_ms == 0 || now + run->est_ms < r->leaves_ms;
+    return r->worker_exit_ms == 0 || now + run->est_ms < r->worker_exit_ms;
 }
 
 static void
-pump(struct runner *r, uint64_t now)
+start_queued(struct runner *r, uint64_t now)
 {
     bool may_start = rn_serving(r) && may_renew(r, now);
     struct rn_run *run;
@@ -292,35 +301,36 @@
         if (run->state != RN_QUEUED) {
             continue;
         }
-        if (now >= run->give_up_ms || !rn_serving(r) ||
-            !ends_in_time(r, now, run)) {
-            r->stats.full++;
-            finish(r, now, run, DW_END_FULL);
+        if (now >= run->wait_until_ms || !rn_serving(r) ||
+            !ends_before_exit(r, now, run)) {
+            r->stats.no_capacity++;
+            finish_run(r, now, run, DW_END_FULL);
         }
-        else if (may_start && fits(r, run) && !twin_active(r, run)) {
-            start(r, now, run);
+        else if (may_start && fits(r, run) && !task_active(r, run)) {
+            start_run(r, now, run);
         }
     }
-    /* What was started is looked after at once, not when idle. */
-    if (r->look_ms == 0 && r->looks_failed == 0 && rn_active(r) > 0) {
-        look(r, now, RN_LOOK_MS);
+    /* The first poll after a start does not wait for the idle interval. */
+    if (r->poll_ms == 0 && r->polls_failed == 0 && rn_active_count(r) > 0) {
+        start_poll(r, now, RN_POLL_MS);
     }
 }
 
-/* How long after the last look the next is due. */
+/* ms from the last poll until the next is due. */
 static uint32_t
-look_pause(const struct runner *r)
+poll_pause(const struct runner *r)
 {
-    return rn_active(r) > 0 || !r->clean || !r->looked || r->silent ||
-                   !rn_quiet(r)
-               ? RN_RETRY_MS
-               : RN_IDLE_MS;
+    return rn_active_count(r) > 0 || !r->clean || !r->polled || r->silent ||
+                   !rn_outcomes_acked(r)
+               ? RN_RETRY_POLL_MS
+               : RN_IDLE_POLL_MS;
 }
 
 /*
- * Entries that saw the same free cores send more than there is room for.
- * Those runs are better off elsewhere at once than waiting here for cores
- * that come free later.  One that only waits for its own predecessor stays.
+ * Entries that were reported the same free cores may order more than fits.
+ * The excess is refused at once, so that it can be placed elsewhere instead
+ * of waiting here.  A run that only waits for an earlier run of its own task
+ * stays queued.
  */
 void
 rn_order(struct runner *r, uint64_t now, uint64_t entry, uint64_t session,
@@ -329,7 +339,7 @@
     struct rn_key key = {group->job, order->run, order->index};
     struct rn_run *run;
 
-    if (find(r, &key) != NULL) {
+    if (find_run(r, &key) != NULL) {
         return;
     }
     run = dw_zero(1, sizeof(*run));
@@ -342,16 +352,16 @@
     run->est_ms = order->est_ms;
     run->priority = group->priority;
     run->spec = str_dup(str_bytes(&group->spec));
-    run->come_ms = now;
+    run->received_ms = now;
     run->sent_ms = now;
-    run->give_up_ms = now + order->wait_ms;
+    run->wait_until_ms = now + order->wait_ms;
     HASH_ADD(hh, r->runs, key, sizeof(run->key), run);
-    r->room_changed_ms = now;
-    pump(r, now);
-    run = find(r, &key);
-    if (run != NULL && run->state == RN_QUEUED && !twin_active(r, run)) {
-        r->stats.full++;
-        finish(r, now, run, DW_END_FULL);
+    r->capacity_changed_ms = now;
+    start_queued(r, now);
+    run = find_run(r, &key);
+    if (run != NULL && run->state == RN_QUEUED && !task_active(r, run)) {
+        r->stats.no_capacity++;
+        finish_run(r, now, run, DW_END_FULL);
     }
 }
 
@@ -362,7 +372,7 @@
 {
     if (run->state != RN_STOPPING) {
         run->state = RN_STOPPING;
-        run->settle_ms = UINT64_MAX;
+        run->conclusive_ms = UINT64_MAX;
     }
     run->sent_ms = now;
     send_stop(r, &run->key);
@@ -372,20 +382,20 @@
 rn_stop(struct runner *r, uint64_t now, const dw_run_ref *ref)
 {
     struct rn_key key = {ref->job, ref->run, ref->index};
-    struct rn_run *run = find(r, &key);
+    struct rn_run *run = find_run(r, &key);
 
     if (run == NULL || run->state == RN_STOPPING) {
         return;
     }
     if (run->state == RN_QUEUED) {
-        finish(r, now, run, DW_END_STOPPED);
+        finish_run(r, now, run, DW_END_STOPPED);
         return;
     }
     stop_run(r, now, run);
 }
 
 void
-rn_session_over(struct runner *r, uint64_t now, uint64_t session)
+rn_session_ended(struct runner *r, uint64_t now, uint64_t session)
 {
     struct rn_run *run;
     struct rn_run *tmp;
@@ -395,176 +405,176 @@
             continue;
         }
         if (run->state == RN_QUEUED) {
-            drop(r, now, run);
+            remove_run(r, now, run);
             continue;
         }
-        if (!run->forced) {
-            run->forced = true;
-            run->forced_ms = now;
+        if (!run->session_ended) {
+            run->session_ended = true;
+            run->session_ended_ms = now;
             stop_run(r, now, run);
         }
     }
-    pump(r, now);
+    start_queued(r, now);
 }
 
-/* --- what the worker said --- */
+/* --- reports of the worker --- */
 
 /*
- * An order may be carried out seconds late, by a worker that started anew
- * meanwhile: its lease then lies far ahead on the new clock, and the task has
- * long run elsewhere.  A fence that rises with each life makes the worker
- * refuse it.
+ * A start may arrive seconds late at a worker that has restarted meanwhile:
+ * its lease would then end far in the future by the new clock, while the task
+ * has run elsewhere.  The fence increases with each incarnation, so that the
+ * worker refuses such a start.
  */
 static void
-set_born(struct runner *r, uint64_t born_ms)
+set_incarnation(struct runner *r, uint64_t incarnation)
 {
-    r->born_ms = born_ms;
-    r->fence = num_max(r->fence + 1, born_ms);
+    r->incarnation = incarnation;
+    r->fence = num_max(r->fence + 1, incarnation);
 }
 
 /*
- * The worker started anew.  Which runs were of the life before is not known:
- * an order on its way may have reached the new one.  The look that showed it,
- * or the next, tells for each whether it is there.
+ * Which runs belonged to the former incarnation is not known: a start in
+ * transit may have reached the new one.  The poll that revealed the restart,
+ * or the next, shows for each run whether it exists.
  */
 static void
-reborn(struct runner *r, uint64_t now, uint64_t born_ms)
+worker_restarted(struct runner *r, uint64_t now, uint64_t incarnation)
 {
     r->fail_permille = 0;
-    r->stats.reborn++;
-    r->clock_ms = 0;
-    r->looked = false;
-    set_born(r, born_ms);
-    r->born_at_ms = now;
-    r->have_room = false;
+    r->stats.worker_restarts++;
+    r->worker_clock_ms = 0;
+    r->polled = false;
+    set_incarnation(r, incarnation);
+    r->incarnation_seen_ms = now;
+    r->capacity_known = false;
     r->draining = false;
-    r->leaves_ms = 0;
+    r->worker_exit_ms = 0;
     r->ack = 0;
-    r->ack_told = 0;
-    r->ack_asked = 0;
-    r->room_changed_ms = now;
+    r->ack_confirmed = 0;
+    r->ack_sent = 0;
+    r->capacity_changed_ms = now;
 }
 
 void
-rn_room(struct runner *r, uint64_t now, uint32_t millicores,
-    uint32_t memory_mb, uint32_t gpus, uint64_t born_ms)
+rn_set_capacity(struct runner *r, uint64_t now, uint32_t millicores,
+    uint32_t memory_mb, uint32_t gpus, uint64_t incarnation)
 {
-    if (r->born_ms == 0) {
-        set_born(r, born_ms);
+    if (r->incarnation == 0) {
+        set_incarnation(r, incarnation);
     }
-    if (born_ms > r->born_ms) {
-        reborn(r, now, born_ms);
+    if (incarnation > r->incarnation) {
+        worker_restarted(r, now, incarnation);
     }
-    if (!r->have_room) {
+    if (!r->capacity_known) {
         r->millicores = 0;
         r->memory_mb = 0;
         r->gpus = 0;
     }
-    if (born_ms == r->born_ms) {
-        /* What is free is never more than the whole. */
+    if (incarnation == r->incarnation) {
+        /* Free capacity never exceeds the total. */
         r->millicores = (uint32_t)num_max(r->millicores, millicores);
         r->memory_mb = (uint32_t)num_max(r->memory_mb, memory_mb);
         r->gpus = (uint32_t)num_max(r->gpus, gpus);
-        r->have_room = true;
+        r->capacity_known = true;
     }
-    pump(r, now);
+    start_queued(r, now);
 }
 
 void
-rn_draining(struct runner *r, uint64_t now, bool draining, bool leaves,
+rn_set_draining(struct runner *r, uint64_t now, bool draining, bool leaves,
     uint64_t left_ms)
 {
     if (r->draining != draining) {
-        r->room_changed_ms = now;
+        r->capacity_changed_ms = now;
     }
     r->draining = draining;
-    r->leaves_ms = draining && leaves ? now + left_ms : 0;
-    pump(r, now);
+    r->worker_exit_ms = draining && leaves ? now + left_ms : 0;
+    start_queued(r, now);
 }
 
 void
 rn_leave(struct runner *r, uint64_t now)
 {
     r->leaving = true;
-    pump(r, now);
+    start_queued(r, now);
 }
 
 void
-rn_started(struct runner *r, uint64_t now, const struct rn_key *key,
+rn_start_answered(struct runner *r, uint64_t now, const struct rn_key *key,
     enum rn_start_result result, uint64_t clock_ms)
 {
-    struct rn_run *run = find(r, key);
+    struct rn_run *run = find_run(r, key);
 
     note_clock(r, now, clock_ms);
     if (run == NULL || run->state == RN_RUNNING || run->state == RN_STOPPING) {
         return;
     }
     if (result == RN_START_FENCED) {
-        r->fence += FENCE_LEAP;
-        finish(r, now, run, DW_END_NOT_RUN);
-        pump(r, now);
+        r->fence += FENCE_STEP;
+        finish_run(r, now, run, DW_END_NOT_RUN);
+        start_queued(r, now);
     }
     else if (result == RN_START_OK) {
         run->state = RN_RUNNING;
         run->started_ms = run->sent_ms;
-        run->settle_ms = now;
+        run->conclusive_ms = now;
     }
-    else if (result == RN_START_REFUSED || result == RN_START_UNREACHED) {
-        if (result == RN_START_UNREACHED) {
+    else if (result == RN_START_REFUSED || result == RN_START_UNREACHABLE) {
+        if (result == RN_START_UNREACHABLE) {
             set_silent(r, now);
         }
-        finish(r, now, run, DW_END_NOT_RUN);
-        pump(r, now);
+        finish_run(r, now, run, DW_END_NOT_RUN);
+        start_queued(r, now);
     }
     else {
         r->stats.lost_starts++;
         run->state = RN_UNSURE;
-        run->settle_ms = now;
-        look_quick(r);
+        run->conclusive_ms = now;
+        poll_immediately(r);
     }
 }
 
 void
-rn_stopped(
+rn_stop_answered(
     struct runner *r, uint64_t now, const struct rn_key *key, bool answered)
 {
-    struct rn_run *run = find(r, key);
+    struct rn_run *run = find_run(r, key);
 
-    if (run == NULL || run->settle_ms != UINT64_MAX) {
+    if (run == NULL || run->conclusive_ms != UINT64_MAX) {
         return;
     }
     if (!answered) {
-        return; /* rn_tick() asks again */
+        return; /* rn_tick() sends it again */
     }
-    /* Later arrivals of the start are refused from now on; whether it runs
-     * or has ended, the next look tells. */
-    run->settle_ms = now;
-    if (!run->seen) {
-        look_quick(r);
+    /* From now on the worker refuses a late start of this run; the next poll
+     * shows whether it runs or has ended. */
+    run->conclusive_ms = now;
+    if (!run->reported) {
+        poll_immediately(r);
     }
 }
 
 static void
-take_ends(struct runner *r, uint64_t now, const struct rn_look *l)
+process_outcomes(struct runner *r, uint64_t now, const struct rn_poll *p)
 {
-    for (size_t i = 0; i < l->end_count; i++) {
-        const struct rn_end *e = &l->ends[i];
-        struct rn_run *run = find(r, &e->key);
+    for (size_t i = 0; i < p->outcome_count; i++) {
+        const struct rn_outcome *o = &p->outcomes[i];
+        struct rn_run *run = find_run(r, &o->key);
 
-        if (e->number <= r->ack) {
+        if (o->seq <= r->ack) {
             continue;
         }
-        r->ack = e->number;
+        r->ack = o->seq;
         if (run != NULL && run->state != RN_QUEUED) {
-            finish(r, now, run, e->how);
+            finish_run(r, now, run, o->outcome);
         }
     }
 }
 
 static bool
-ended_lately(const struct runner *r, const struct rn_key *key)
+ended_recently(const struct runner *r, const struct rn_key *key)
 {
-    for (size_t i = 0; i < RN_RECENT; i++) {
+    for (size_t i = 0; i < RN_RECENT_MAX; i++) {
         if (memcmp(&r->recent[i], key, sizeof(*key)) == 0) {
             return true;
         }
@@ -573,158 +583,158 @@
 }
 
 static void
-take_running(struct runner *r, uint64_t now, const struct rn_look *l)
+process_running(struct runner *r, uint64_t now, const struct rn_poll *p)
 {
     r->orphans = 0;
-    for (size_t i = 0; i < l->running_count; i++) {
-        const struct rn_shown *s = &l->running[i];
-        struct rn_run *run = find(r, &s->key);
+    for (size_t i = 0; i < p->running_count; i++) {
+        const struct rn_poll_run *s = &p->running[i];
+        struct rn_run *run = find_run(r, &s->key);
 
-        if (run == NULL && ended_lately(r, &s->key)) {
+        if (run == NULL && ended_recently(r, &s->key)) {
             continue;
         }
         if (run == NULL) {
-            /* Of an agent that was here before, or carried out late: its
-             * size is not known, so nothing starts beside it. */
+            /* Started by an earlier agent, or by a late request: its size is
+             * unknown, so nothing is started beside it. */
             r->orphans++;
             r->stats.orphans++;
             send_stop(r, &s->key);
             continue;
         }
-        run->seen = true;
+        run->reported = true;
         note_progress(r, now, run, s->percent);
         if (run->state == RN_UNSURE || run->state == RN_STARTING) {
             run->state = RN_RUNNING;
             run->started_ms = run->sent_ms;
-            run->settle_ms = now;
+            run->conclusive_ms = now;
         }
     }
 }
 
 static bool
-shown(const struct rn_look *l, const struct rn_key *key)
+is_reported(const struct rn_poll *p, const struct rn_key *key)
 {
-    for (size_t i = 0; i < l->running_count; i++) {
-        if (memcmp(&l->running[i].key, key, sizeof(*key)) == 0) {
+    for (size_t i = 0; i < p->running_count; i++) {
+        if (memcmp(&p->running[i].key, key, sizeof(*key)) == 0) {
             return true;
         }
     }
     return false;
 }
 
-/* Runs that a look neither showed running nor ended. */
+/* Decides on runs that a poll showed neither as running nor as ended. */
 static void
-settle_absent(struct runner *r, uint64_t now, const struct rn_look *l)
+resolve_absent(struct runner *r, uint64_t now, const struct rn_poll *p)
 {
     struct rn_run *run;
     struct rn_run *tmp;
 
     HASH_ITER (hh, r->runs, run, tmp) {
         if (run->state == RN_QUEUED || run->state == RN_STARTING ||
-            l->asked_ms <= run->settle_ms || shown(l, &run->key)) {
+            p->sent_ms <= run->conclusive_ms || is_reported(p, &run->key)) {
             continue;
         }
         if (run->state == RN_UNSURE) {
-            /* It may still arrive: a stop makes the worker refuse it. */
+            /* The start may still arrive: after a stop it is refused. */
             stop_run(r, now, run);
         }
         else {
-            finish(r, now, run,
-                run->state == RN_STOPPING && !run->seen ? DW_END_NOT_RUN
-                                                        : DW_END_LOST);
+            finish_run(r, now, run,
+                run->state == RN_STOPPING && !run->reported ? DW_END_NOT_RUN
+                                                            : DW_END_LOST);
         }
     }
 }
 
 /*
- * The first look that carried this life's fence: later arrivals of orders to
- * the life before are refused.  One that came earlier may have renewed the
- * lease with a time on the earlier clock, cut to the longest lease only.
- * Entries count on RN_LAPSE_MS, should this agent die: nothing starts before
- * that lease has run out.
+ * The first poll that carried the fence of this incarnation: from now on the
+ * worker refuses late requests meant for the former one.  A late request that
+ * arrived before may have renewed the lease with a time by the former clock,
+ * limited only by the longest lease.  If this agent dies, entries rely on
+ * RN_LEASE_EXPIRY_MS, so nothing is started until that lease has run out.
  */
 static void
-first_look(struct runner *r, uint64_t now)
+first_poll(struct runner *r, uint64_t now)
 {
-    r->looked = true;
-    if (r->stats.reborn > 0) {
-        r->wild_ms = now + RN_LONGEST_MS;
+    r->polled = true;
+    if (r->stats.worker_restarts > 0) {
+        r->unknown_lease_until_ms = now + RN_LEASE_MAX_MS;
     }
 }
 
 static void
-take_look(struct runner *r, uint64_t now, const struct rn_look *l)
+process_poll(struct runner *r, uint64_t now, const struct rn_poll *p)
 {
-    if (r->born_ms != 0 && l->born_ms != r->born_ms) {
-        reborn(r, now, l->born_ms);
+    if (r->incarnation != 0 && p->incarnation != r->incarnation) {
+        worker_restarted(r, now, p->incarnation);
     }
-    note_clock(r, now, l->clock_ms);
-    if (r->born_ms == 0) {
-        set_born(r, l->born_ms);
+    note_clock(r, now, p->worker_clock_ms);
+    if (r->incarnation == 0) {
+        set_incarnation(r, p->incarnation);
     }
     r->silent = false;
-    if (!r->looked && l->asked_ms > r->born_at_ms) {
-        first_look(r, now);
-    }
-    take_ends(r, now, l);
-    take_running(r, now, l);
-    settle_absent(r, now, l);
-    learn_speed(r);
-    if (r->orphans == 0 && now - r->begun_ms > RN_LAPSE_MS) {
+    if (!r->polled && p->sent_ms > r->incarnation_seen_ms) {
+        first_poll(r, now);
+    }
+    process_outcomes(r, now, p);
+    process_running(r, now, p);
+    resolve_absent(r, now, p);
+    update_speed(r);
+    if (r->orphans == 0 && now - r->started_ms > RN_LEASE_EXPIRY_MS) {
         r->clean = true;
     }
 }
 
 static void
-look_failed(struct runner *r, uint64_t now, const struct rn_look *l)
+poll_failed(struct runner *r, uint64_t now, const struct rn_poll *p)
 {
-    if (l->unreached || r->looks_failed >= RN_SILENT_LOOKS) {
+    if (p->unreachable || r->polls_failed >= RN_SILENT_POLLS) {
         set_silent(r, now);
     }
     else {
-        look(r, now, 0);
+        start_poll(r, now, 0);
     }
 }
 
 void
-rn_looked(struct runner *r, uint64_t now, const struct rn_look *l)
+rn_poll_answered(struct runner *r, uint64_t now, const struct rn_poll *p)
 {
-    /* Of a life before the one that is known since. */
-    bool old = r->born_ms != 0 && l->born_ms != r->born_ms &&
-               l->asked_ms <= r->born_at_ms;
+    /* Sent before a restart and answered by the former incarnation. */
+    bool outdated = r->incarnation != 0 && p->incarnation != r->incarnation &&
+                    p->sent_ms <= r->incarnation_seen_ms;
 
-    if (l->quick) {
-        r->quick_out = false;
+    if (p->immediate) {
+        r->immediate_pending = false;
     }
     else {
-        r->look_ms = 0;
-        r->looks_failed += !l->ok;
-        r->ack_told = l->ok && !old ? r->ack_asked : r->ack_told;
+        r->poll_ms = 0;
+        r->polls_failed += !p->ok;
+        r->ack_confirmed = p->ok && !outdated ? r->ack_sent : r->ack_confirmed;
     }
-    if (l->ok && !old) {
-        take_look(r, now, l);
-        r->looks_failed = 0;
+    if (p->ok && !outdated) {
+        process_poll(r, now, p);
+        r->polls_failed = 0;
     }
-    else if (!l->ok && !l->quick) {
-        look_failed(r, now, l);
+    else if (!p->ok && !p->immediate) {
+        poll_failed(r, now, p);
     }
-    pump(r, now);
+    start_queued(r, now);
 }
 
-/* The worker could not be reached for a whole lease: all has ended there. */
+/* After a lease without renewal the worker has ended all runs. */
 static void
-lapse(struct runner *r, uint64_t now)
+expire_lease(struct runner *r, uint64_t now)
 {
     struct rn_run *run;
     struct rn_run *tmp;
 
-    if (now <= r->lapse_ms) {
+    if (now <= r->lease_expiry_ms) {
         return;
     }
     HASH_ITER (hh, r->runs, run, tmp) {
         if (run->state != RN_QUEUED) {
-            r->stats.lapsed++;
-            finish(r, now, run, DW_END_LOST);
+            r->stats.lease_expired++;
+            finish_run(r, now, run, DW_END_LOST);
         }
     }
 }
@@ -735,24 +745,24 @@
     struct rn_run *run;
     struct rn_run *tmp;
 
-    if (r->wild_ms != 0 && now > r->wild_ms) {
-        r->wild_ms = 0;
-        r->room_changed_ms = now;
+    if (r->unknown_lease_until_ms != 0 && now > r->unknown_lease_until_ms) {
+        r->unknown_lease_until_ms = 0;
+        r->capacity_changed_ms = now;
     }
-    lapse(r, now);
+    expire_lease(r, now);
     HASH_ITER (hh, r->runs, run, tmp) {
-        if (run->state == RN_STOPPING && run->settle_ms == UINT64_MAX &&
-            now - run->sent_ms > RN_ANSWER_MS + 5) {
+        if (run->state == RN_STOPPING && run->conclusive_ms == UINT64_MAX &&
+            now - run->sent_ms > RN_ANSWER_TIMEOUT_MS + 5) {
             stop_run(r, now, run);
         }
         else if (run->state == RN_UNSURE) {
-            look_quick(r);
+            poll_immediately(r);
         }
     }
-    if (r->look_ms == 0 && now - r->asked_ms >= look_pause(r)) {
-        look(r, now, rn_active(r) > 0 ? RN_LOOK_MS : 0);
+    if (r->poll_ms == 0 && now - r->last_poll_ms >= poll_pause(r)) {
+        start_poll(r, now, rn_active_count(r) > 0 ? RN_POLL_MS : 0);
     }
-    pump(r, now);
+    start_queued(r, now);
 }
 
 /* --- queries --- */
@@ -760,18 +770,18 @@
 bool
 rn_serving(const struct runner *r)
 {
-    return r->have_room && r->looked && r->wild_ms == 0 && !r->silent &&
-           r->orphans == 0 && !r->draining && !r->leaving;
+    return r->capacity_known && r->polled && r->unknown_lease_until_ms == 0 &&
+           !r->silent && r->orphans == 0 && !r->draining && !r->leaving;
 }
 
 bool
-rn_quiet(const struct runner *r)
+rn_outcomes_acked(const struct runner *r)
 {
-    return r->ack_told == r->ack;
+    return r->ack_confirmed == r->ack;
 }
 
 size_t
-rn_active(const struct runner *r)
+rn_active_count(const struct runner *r)
 {
     const struct rn_run *run;
     size_t n = 0;
@@ -783,7 +793,7 @@
 }
 
 size_t
-rn_leftover(const struct runner *r, uint64_t entry, uint64_t session)
+rn_leftover_count(const struct runner *r, uint64_t entry, uint64_t session)
 {
     const struct rn_run *run;
     size_t n = 0;
@@ -795,7 +805,7 @@
 }
 
 void
-rn_tell_room(const struct runner *r, uint64_t now, dw_room *room)
+rn_get_capacity(const struct runner *r, uint64_t now, dw_room *room)
 {
     const struct rn_run *run;
 
@@ -803,7 +813,7 @@
     room->serving = rn_serving(r);
     room->draining = r->draining;
     room->left_ms =
-        r->leaves_ms != 0 ? num_left(r->leaves_ms, now) : UINT32_MAX;
+        r->worker_exit_ms != 0 ? num_left(r->worker_exit_ms, now) : UINT32_MAX;
     room->millicores = r->millicores;
     room->memory_mb = r->memory_mb;
     room->gpus = r->gpus;
--- a/sim.c
+++ b/sim.c
@@ -166,7 +166,7 @@
         return;
     }
     if (a != NULL && m->msg->type == DW_ORDERS) {
-        ag_orders(&a->a, sim_ms(s), m->from, &m->msg->dw_msg_u.orders);
+        ag_handle_orders(&a->a, sim_ms(s), m->from, &m->msg->dw_msg_u.orders);
         ag_flush(&a->a, sim_ms(s));
     }
     msg_free(m->msg);
@@ -263,8 +263,8 @@
     const struct sim_worker *w = &s->workers[a->index];
 
     if (w->up) {
-        rn_room(&a->a.runner, sim_ms(s), s->d->millicores[a->index], MEMORY_MB,
-            0, w->born_ms);
+        rn_set_capacity(&a->a.runner, sim_ms(s), s->d->millicores[a->index],
+            MEMORY_MB, 0, w->born_ms);
         ag_flush(&a->a, sim_ms(s));
     }
 }
@@ -530,7 +530,7 @@
     sim_entry_end(s, e);
     for (uint32_t i = 0; id != 0 && i < s->d->workers; i++) {
         if (s->agents[i].id != 0) {
-            ag_refused(&s->agents[i].a, sim_ms(s), id);
+            ag_entry_dead(&s->agents[i].a, sim_ms(s), id);
         }
     }
 }
