--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 
 # Deciding modules: no I/O, no clock, no state of their own.
 DECIDE = str err act subkey contract view member sync place host job jobadmit jobmove \
-	lend own ownmap front node route sess fleet coord runner agent news guess slack inflow rank turn intake lag relay
+	lend own ownmap front node route sess fleet coord runner agent opstate estimate slack inflow rank turn intake lag relay
 # What carries their actions out.
 IO = log hist proc base64 httpc store frame link web trail back carry api ops metric serve \
 	entryd entrycall entrynews agentd platform/wire platform/kv platform/follow
@@ -60,7 +60,7 @@
 
 TESTS = unit-test work-test link-test lend-test path-test member-test matrix-test \
 	property-test fleet world serve-test wire-test route-test sess-test runner-test agent-test \
-	coord-test news-test guess-test slack-test inflow-test rank-test lag-test fleet-test kv-test \
+	coord-test opstate-test estimate-test slack-test inflow-test rank-test lag-test fleet-test kv-test \
 	web-test log-test sim-test
 TEST_O = $(TESTS:%=$(B)/test/%.o)
 $(B)/tests: $(TEST_O) $(COMMON_O) $(B)/frame.o $(B)/link.o $(B)/proc.o $(B)/log.o $(B)/hist.o $(B)/web.o \
--- a/agent.c
+++ b/agent.c
@@ -173,7 +173,7 @@
     memset(&m, 0, sizeof(m));
     m.type = DW_REPORT;
     fill_report(a, now, e, &m.dw_msg_u.report);
-    sess_stamp(&e->sess, now, &m);
+    sess_fill_head(&e->sess, now, &m);
     a->ops->send(a->ctx, e->id, &m);
 }
 
@@ -184,7 +184,7 @@
 
     e->batch = NULL;
     fill_report(a, now, e, &m->dw_msg_u.report);
-    sess_keep(&e->sess, now, m);
+    sess_enqueue(&e->sess, now, m);
     a->ops->send(a->ctx, e->id, m);
 }
 
@@ -193,8 +193,8 @@
 {
     dw_msg *m;
 
-    for (m = sess_again(&e->sess, now, NULL); m != NULL;
-         m = sess_again(&e->sess, now, m)) {
+    for (m = sess_next_resend(&e->sess, now, NULL); m != NULL;
+         m = sess_next_resend(&e->sess, now, m)) {
         /* The room belongs to the acknowledgement that goes with it. */
         fill_report(a, now, e, &m->dw_msg_u.report);
         a->ops->send(a->ctx, e->id, m);
@@ -290,18 +290,18 @@
     if (o->head.session > e->newest) {
         begin_session(a, now, e, &o->head);
     }
-    v = sess_take(&e->sess, now, &o->head);
+    v = sess_receive(&e->sess, now, &o->head);
     if (v != SESS_DROP) {
         e->want = o->want;
     }
-    if (v == SESS_TAKE) {
+    if (v == SESS_DELIVER) {
         if (o->groups.groups_len > 0) {
             e->shown_ms = 0;
         }
         take_orders(a, now, e, o);
         a->runner.room_changed_ms = now;
     }
-    else if (e->open && e->sess.fresh_ms == 0) {
+    else if (e->open && e->sess.own_clock_echo_ms == 0) {
         send_beat(a, now, e); /* so that the other learns our clock */
     }
 }
@@ -321,7 +321,8 @@
 static uint64_t
 heard(const struct ag_entry *e)
 {
-    return e->sess.fresh_ms != 0 ? e->sess.fresh_ms : e->begun_ms;
+    return e->sess.own_clock_echo_ms != 0 ? e->sess.own_clock_echo_ms
+                                          : e->begun_ms;
 }
 
 static void
@@ -337,7 +338,7 @@
         return;
     }
     resend(a, now, e);
-    if (sess_beat_due(&e->sess, now)) {
+    if (sess_heartbeat_due(&e->sess, now)) {
         send_beat(a, now, e);
     }
 }
@@ -362,7 +363,7 @@
 static bool
 may_report(const struct ag_entry *e, uint64_t now)
 {
-    return now - e->sess.sent_ms >= e->want.pause_ms / AG_ENDS_PART;
+    return now - e->sess.last_sent_ms >= e->want.pause_ms / AG_ENDS_PART;
 }
 
 /* Where much is free, changes of it decide little. */
@@ -378,7 +379,7 @@
     int64_t free_millicores = free_now(a, now);
     uint32_t pause = is_scarce(a, free_millicores)
                          ? AG_ROOM_MS_PER_ENTRY * a->open_count
-                         : SESS_BEAT_MS;
+                         : SESS_HEARTBEAT_MS;
     struct ag_entry *e;
 
     for (e = a->entries; e != NULL; e = e->hh.next) {
@@ -391,8 +392,8 @@
             }
         }
         else if (must_hear(a, e, now, free_millicores) ||
-                 (a->runner.room_changed_ms >= e->sess.sent_ms &&
-                     now - e->sess.sent_ms >=
+                 (a->runner.room_changed_ms >= e->sess.last_sent_ms &&
+                     now - e->sess.last_sent_ms >=
                          num_max(pause, e->want.pause_ms))) {
             send_beat(a, now, e);
         }
--- a/coord.c
+++ b/coord.c
@@ -163,8 +163,8 @@
     m.dw_msg_u.orders.address.dw_bytes_val = c->address;
     m.dw_msg_u.orders.address.dw_bytes_len = (u_int)strlen(c->address);
     m.dw_msg_u.orders.port = c->port;
-    m.dw_msg_u.orders.want = a->want;
-    sess_stamp(&a->sess, now, &m);
+    m.dw_msg_u.orders.want = a->demand;
+    sess_fill_head(&a->sess, now, &m);
     c->ops->send(c->ctx, a->id, &m);
 }
 
@@ -174,10 +174,10 @@
     dw_msg *m = a->batch;
 
     a->batch = NULL;
-    m->dw_msg_u.orders.want = a->want;
-    sess_keep(&a->sess, now, m);
+    m->dw_msg_u.orders.want = a->demand;
+    sess_enqueue(&a->sess, now, m);
     c->ops->send(c->ctx, a->id, m);
-    fl_sent(a, a->sess.out_seq);
+    fl_batch_sent(a, a->sess.send_seq);
 }
 
 /* --- the end of a job --- */
@@ -189,7 +189,7 @@
         const struct co_task *t = &j->tasks[i];
         struct fl_agent *a = fl_find(&c->fleet, t->agent);
 
-        if (t->state == CO_OUT && a != NULL && a->live &&
+        if (t->state == CO_OUT && a != NULL && a->session_open &&
             a->sess.number == t->session) {
             add_stop(a, j->id, i, t->run);
         }
@@ -295,9 +295,9 @@
 /* Why a job is turned away on arrival; NULL if it is taken. */
 static const char *
 refusal(struct coord *c, uint64_t now, const struct co_submit *s,
-    const struct gs_guess *g)
+    const struct es_estimate *g)
 {
-    struct fl_sum sum = fl_sum_up(&c->fleet, now, s->service, 1);
+    struct fl_totals sum = fl_total(&c->fleet, now, s->service, 1);
 
     if ((uint64_t)g->run_ms * CO_LEAST_PERCENT / 100 >= s->left_ms) {
         return "too_late";
@@ -306,14 +306,14 @@
         return "no_workers";
     }
     for (size_t i = 0; i < s->count; i++) {
-        struct fl_need need = {s->service, s->tasks[i].millicores,
+        struct fl_requirements need = {s->service, s->tasks[i].millicores,
             s->tasks[i].memory_mb, s->tasks[i].gpus, g->run_ms, 0, false,
             false, 0};
 
         if (!fl_never_fits(&c->fleet, now, &need)) {
             continue;
         }
-        if (!fl_widen(&c->fleet, now)) {
+        if (!fl_select_all(&c->fleet, now)) {
             return "never_fits";
         }
         c->stats.widened++;
@@ -337,7 +337,7 @@
 
 static struct co_job *
 admit(struct coord *c, uint64_t now, const struct co_submit *s,
-    const struct gs_guess *g, void *handle)
+    const struct es_estimate *g, void *handle)
 {
     struct co_job *j = dw_zero(1, sizeof(*j));
 
@@ -349,7 +349,7 @@
     j->attempts = (uint32_t)num_max(s->attempts, 1);
     j->come_ms = now;
     j->objective_ms = now + g->objective_ms;
-    j->use_ms = now + g->use_ms;
+    j->use_ms = now + g->useful_ms;
     j->deadline_ms = now + s->left_ms;
     j->longest_ms = g->run_ms;
     j->count = (uint32_t)s->count;
@@ -373,9 +373,9 @@
 {
     struct co_job *j = find_job(c, s->id);
     struct co_ended *e = NULL;
-    struct gs_seen seen = {longest(s), s->left_ms};
-    struct gs_model *model;
-    struct gs_guess g;
+    struct es_input seen = {longest(s), s->left_ms};
+    struct es_model *model;
+    struct es_estimate g;
     const char *why;
 
     c->stats.submitted++;
@@ -390,8 +390,8 @@
         c->ops->answer(c->ctx, handle, e->how, "ended", 0);
         return;
     }
-    model = gs_model_of(&c->times, s->route_name);
-    g = gs_times(model, &s->route, &seen);
+    model = es_model_of(&c->times, s->route_name);
+    g = es_estimate_job(model, &s->route, &seen);
     why = refusal(c, now, s, &g);
     if (why != NULL) {
         c->stats.not_run++;
@@ -475,7 +475,7 @@
     j->done++;
     if (j->done == j->count) {
         if (j->model != NULL && !j->odd) {
-            gs_learn(&c->times, j->model, &j->seen, j->took_ms);
+            es_learn(&c->times, j->model, &j->seen, j->took_ms);
         }
         end_job(c, now, j, CO_COMPLETED, "done");
     }
@@ -524,10 +524,10 @@
 note_time(const struct coord *c, const struct fl_agent *a, struct co_job *j,
     uint32_t ran_ms)
 {
-    uint64_t usual =
-        (uint64_t)ran_ms * a->room.speed_permille / num_max(c->fleet.speed, 1);
+    uint64_t usual = (uint64_t)ran_ms * a->status.speed_permille /
+                     num_max(c->fleet.median_speed_permille, 1);
 
-    j->odd |= fl_slow(&c->fleet, a);
+    j->odd |= fl_is_slow(&c->fleet, a);
     j->took_ms = (uint32_t)num_max(j->took_ms, usual);
 }
 
@@ -538,7 +538,7 @@
     struct co_job *j = find_job(c, end->ref.job);
     struct co_task *t;
 
-    fl_note_end(a, now, end->how);
+    fl_run_ended(a, now, end->how);
     if (j == NULL || end->ref.index >= j->count) {
         return;
     }
@@ -594,7 +594,7 @@
 static void
 session_over(struct coord *c, uint64_t now, struct fl_agent *a)
 {
-    uint64_t over = sess_over_at(&a->sess) + RN_STOP_MS + RN_LAPSE_MS;
+    uint64_t over = sess_peer_expiry_ms(&a->sess) + RN_STOP_MS + RN_LAPSE_MS;
 
     c->ops->note_agent(c->ctx, a, "agent_silent");
     lose_runs(c, a, num_max(over, now));
@@ -606,7 +606,7 @@
 {
     struct fl_agent *a = fl_find(&c->fleet, id);
 
-    if (a == NULL || !a->live) {
+    if (a == NULL || !a->session_open) {
         return;
     }
     c->ops->note_agent(c->ctx, a, "agent_dead");
@@ -623,29 +623,29 @@
     if (a == NULL) {
         return;
     }
-    v = sess_take(&a->sess, now, &r->head);
+    v = sess_receive(&a->sess, now, &r->head);
     if (v == SESS_DROP) {
         return;
     }
-    if (!a->live) {
-        a->live = true;
+    if (!a->session_open) {
+        a->session_open = true;
         c->ops->note_agent(c->ctx, a, "agent_live");
     }
-    fl_room(a, r->head.ack, &r->room);
+    fl_update_status(a, r->head.ack, &r->room);
     if (r->clean) {
         runs_are_over(c, now, a);
     }
-    for (u_int i = 0; v == SESS_TAKE && i < r->ends.ends_len; i++) {
+    for (u_int i = 0; v == SESS_DELIVER && i < r->ends.ends_len; i++) {
         take_end(c, now, a, &r->ends.ends_val[i]);
     }
 }
 
 /* --- placing --- */
 
-static struct fl_need
+static struct fl_requirements
 need_of(const struct co_job *j, const struct co_task *t)
 {
-    struct fl_need need = {j->load->service, t->spec.millicores,
+    struct fl_requirements need = {j->load->service, t->spec.millicores,
         t->spec.memory_mb, t->spec.gpus, t->spec.est_ms, 0, t->failed > 0,
         false, t->avoid};
 
@@ -657,7 +657,7 @@
 place_task(struct coord *c, uint64_t now, struct co_job *j, uint32_t index)
 {
     struct co_task *t = &j->tasks[index];
-    struct fl_need need = need_of(j, t);
+    struct fl_requirements need = need_of(j, t);
     struct fl_agent *a;
 
     need.waited_ms = (uint32_t)(now - j->come_ms);
@@ -739,8 +739,8 @@
         }
         tell = tn_must_tell(a, now, &w);
         if (tell || a->batch != NULL) {
-            a->want = w;
-            a->want_ms = now;
+            a->demand = w;
+            a->demand_sent_ms = now;
         }
         if (a->batch != NULL) {
             send_batch(c, now, a);
@@ -768,7 +768,7 @@
     uint32_t speed, uint64_t now)
 {
     uint64_t there =
-        (uint64_t)t->spec.est_ms * 1000 / num_max(a->room.pace_permille, 1);
+        (uint64_t)t->spec.est_ms * 1000 / num_max(a->status.pace_permille, 1);
     uint64_t left = num_minus(there, now - t->sent_ms);
     uint64_t again = (uint64_t)t->spec.est_ms * 1000 / num_max(speed, 1);
 
@@ -781,13 +781,13 @@
     for (uint32_t i = 0; i < j->count; i++) {
         struct co_task *t = &j->tasks[i];
         struct fl_agent *a = fl_find(&c->fleet, t->agent);
-        struct fl_need need = need_of(j, t);
+        struct fl_requirements need = need_of(j, t);
 
-        need.quick = true;
-        need.avoid = t->agent;
+        need.fast_only = true;
+        need.avoid_agent = t->agent;
         if (t->state != CO_OUT || t->moving || a == NULL ||
-            a->sess.number != t->session || !fl_slow(&c->fleet, a) ||
-            !better_elsewhere(t, a, c->fleet.speed, now) ||
+            a->sess.number != t->session || !fl_is_slow(&c->fleet, a) ||
+            !better_elsewhere(t, a, c->fleet.median_speed_permille, now) ||
             c->move_room < (int64_t)need.millicores ||
             fl_pick(&c->fleet, now, &need) == NULL) {
             continue;
@@ -806,34 +806,34 @@
 static void
 tend_session(struct coord *c, uint64_t now, struct fl_agent *a)
 {
-    if (a->live && !sess_live(&a->sess, now)) {
+    if (a->session_open && !sess_live(&a->sess, now)) {
         session_over(c, now, a);
     }
-    if (a->live) {
-        a->silent_ms = 0;
+    if (a->session_open) {
+        a->closed_ms = 0;
     }
-    else if (a->silent_ms == 0) {
-        a->silent_ms = now;
+    else if (a->closed_ms == 0) {
+        a->closed_ms = now;
     }
-    if (!a->chosen && (!a->live || fl_idle(a))) {
-        if (a->live) {
+    if (!a->selected && (!a->session_open || fl_is_idle(a))) {
+        if (a->session_open) {
             c->ops->note_agent(c->ctx, a, "agent_left_out");
         }
         if (a->sess.number != 0) {
-            fl_leave_out(a, now);
+            fl_deselect(a, now);
         }
         return;
     }
-    if (!a->live &&
-        (a->sess.number == 0 || now - a->opened_ms > FL_STALE_MS)) {
+    if (!a->session_open &&
+        (a->sess.number == 0 || now - a->opened_ms > FL_OPEN_TIMEOUT_MS)) {
         fl_open(&c->fleet, now, a);
-        a->tried_ms = 0;
+        a->open_sent_ms = 0;
     }
-    if (!a->live && now - a->tried_ms >= FL_OPEN_MS) {
-        a->tried_ms = now;
+    if (!a->session_open && now - a->open_sent_ms >= FL_OPEN_RETRY_MS) {
+        a->open_sent_ms = now;
         send_beat(c, now, a);
     }
-    else if (a->live && sess_beat_due(&a->sess, now)) {
+    else if (a->session_open && sess_heartbeat_due(&a->sess, now)) {
         send_beat(c, now, a);
     }
 }
@@ -887,13 +887,13 @@
     struct fl_agent *a_tmp;
     struct co_job *j;
     struct co_job *j_tmp;
-    struct fl_sum sum;
+    struct fl_totals sum;
 
     c->ticked_ms = now;
-    fl_choose(&c->fleet, now);
-    fl_learn(&c->fleet, now);
+    fl_select(&c->fleet, now);
+    fl_update_stats(&c->fleet, now);
     /* Other entries see the same room. */
-    sum = fl_sum_up(&c->fleet, now, NULL, 1);
+    sum = fl_total(&c->fleet, now, NULL, 1);
     c->move_room = sum.free / MOVE_SHARE;
     if (c->capable_ms == 0 || sum.capacity > 0) {
         c->capable_ms = now;
@@ -901,7 +901,7 @@
     HASH_ITER (hh, c->fleet.agents, a, a_tmp) {
         tend_session(c, now, a);
         sess_resend(&a->sess, now, a->id, c->ops->send, c->ctx);
-        if (!a->member && !a->live) {
+        if (!a->member && !a->session_open) {
             fl_remove(&c->fleet, a);
         }
     }
@@ -947,7 +947,7 @@
         free(l->service);
         free(l);
     }
-    gs_free(&c->times);
+    es_free(&c->times);
     fl_free(&c->fleet);
 }
 
@@ -966,7 +966,7 @@
 uint64_t
 co_waiting_ms(const struct coord *c, uint64_t now)
 {
-    struct fl_sum sum = fl_sum_up(&c->fleet, now, NULL, 1);
+    struct fl_totals sum = fl_total(&c->fleet, now, NULL, 1);
     const struct co_load *l;
     uint64_t work = 0;
 
--- a/coord.h
+++ b/coord.h
@@ -14,7 +14,7 @@
 #include <uthash.h>
 
 #include "fleet.h"
-#include "guess.h"
+#include "estimate.h"
 #include "inflow.h"
 #include "proto.h"
 #include "runner.h"
@@ -59,7 +59,7 @@
     uint32_t priority;
     uint32_t attempts;      /* runs of a task that may fail */
     const char *route_name; /* what jobs are alike */
-    struct gs_route route;
+    struct es_objective route;
     uint32_t left_ms;                 /* until the caller leaves */
     const struct co_task_spec *tasks; /* run times as declared */
     size_t count;
@@ -108,8 +108,8 @@
     uint64_t use_ms; /* an answer later is of no use */
     uint64_t deadline_ms;
     uint64_t longest_ms;    /* estimate of its longest task */
-    struct gs_model *model; /* of its route; NULL: none */
-    struct gs_seen seen;
+    struct es_model *model; /* of its route; NULL: none */
+    struct es_input seen;
     uint32_t slack_ms; /* that it could wait when it came */
     uint32_t took_ms;  /* its longest task so far, at usual speed */
     bool odd;          /* a run was on a slow worker: it tells nothing */
@@ -140,7 +140,7 @@
     /* Lines for whoever asks later what became of a job or a run. */
     void (*note)(void *ctx, const struct co_job *job, const char *text);
     void (*note_refusal)(void *ctx, const struct co_submit *s,
-        const struct gs_guess *g, const char *why, uint64_t waiting_ms);
+        const struct es_estimate *g, const char *why, uint64_t waiting_ms);
     void (*note_run)(
         void *ctx, const struct co_job *job, uint32_t index, const char *what);
     void (*note_agent)(void *ctx, const struct fl_agent *a, const char *what);
@@ -169,7 +169,7 @@
     struct co_job *jobs;
     struct co_job *queue;
     struct co_ended *ended;
-    struct gs_table times;  /* what jobs of each route take */
+    struct es_table times;  /* what jobs of each route take */
     struct co_load *loads;  /* by service */
     bool admitted;          /* a job since the last flush */
     uint32_t room_pause_ms; /* between an agent's reports on its room */
--- a/entrycall.c
+++ b/entrycall.c
@@ -43,21 +43,21 @@
         " objective_ms=%" PRIu64 " left_ms=%" PRIu64 " speed=%u",
         j->id, why, j->count, j->done, j->begun, now - j->come_ms,
         j->objective_ms - j->come_ms, num_minus(j->deadline_ms, now),
-        e->coord.fleet.speed);
+        e->coord.fleet.median_speed_permille);
 }
 
 static void
-note_refusal(void *ctx, const struct co_submit *s, const struct gs_guess *g,
+note_refusal(void *ctx, const struct co_submit *s, const struct es_estimate *g,
     const char *why, uint64_t waiting_ms)
 {
     struct entry *e = ctx;
-    struct fl_sum sum = fl_sum_up(&e->coord.fleet, proc_now(), s->service,
+    struct fl_totals sum = fl_total(&e->coord.fleet, proc_now(), s->service,
         s->count > 0 ? s->tasks[0].millicores : 1);
 
     log_event(LOG_LEVEL_WARN, "job_refused",
         "job=%016" PRIx64 " why=%s tasks=%zu run_ms=%u left_ms=%u"
         " use_ms=%u waiting_ms=%" PRIu64 " capacity=%" PRId64 " free=%" PRId64,
-        s->id, why, s->count, g->run_ms, s->left_ms, g->use_ms, waiting_ms,
+        s->id, why, s->count, g->run_ms, s->left_ms, g->useful_ms, waiting_ms,
         sum.capacity, sum.free);
 }
 
@@ -72,8 +72,8 @@
         "job=%016" PRIx64 " task=%u run=%" PRIu64
         " agent=%s failed=%u ms=%" PRIu64 " pace=%u room_age_ms=%" PRIu64,
         j->id, index, t->run, a != NULL ? a->name : "gone", t->failed,
-        proc_now() - t->sent_ms, a != NULL ? a->room.pace_permille : 0,
-        a != NULL ? proc_now() - a->sess.heard_ms : 0);
+        proc_now() - t->sent_ms, a != NULL ? a->status.pace_permille : 0,
+        a != NULL ? proc_now() - a->sess.peer_clock_at_ms : 0);
 }
 
 static void
@@ -85,7 +85,7 @@
     (void)ctx;
     log_event(lost ? LOG_LEVEL_WARN : LOG_LEVEL_INFO, what,
         "agent=%s id=%016" PRIx64 " heard_ms=%" PRIu64 " runs=%u", a->name,
-        a->id, proc_now() - a->sess.heard_ms, a->out);
+        a->id, proc_now() - a->sess.peer_clock_at_ms, a->active_runs);
 }
 
 void
@@ -223,8 +223,8 @@
     s.priority = route->priority;
     s.attempts = route->attempts;
     s.route_name = route->name;
-    s.route = (struct gs_route){route->stretch_milli, route->slo_ms};
-    s.left_ms = c->req != NULL ? left_ms(c->req) : c->taken->left_ms;
+    s.route = (struct es_objective){route->stretch_milli, route->slo_ms};
+    s.left_ms = c->req != NULL ? left_ms(c->req) : c->taken->remaining_ms;
     s.tasks = job.tasks;
     s.count = job.count;
     co_submit(&e->coord, now, &s, c);
@@ -248,9 +248,9 @@
     const struct rt_route *route = rt_match(&e->routes, host, path);
 
     *id = 0;
-    if (route != NULL && path.n > route->prefix_n &&
+    if (route != NULL && path.n > route->prefix_len &&
         !wire_job_id(
-            str_make(path.p + route->prefix_n, path.n - route->prefix_n),
+            str_make(path.p + route->prefix_len, path.n - route->prefix_len),
             id)) {
         return NULL;
     }
@@ -326,7 +326,7 @@
     struct caller *given = rl_find(&e->relay, str_of(web_path(r)));
 
     if (given != NULL) {
-        rl_drop(&e->relay, given);
+        rl_cancel(&e->relay, given);
         answer(e, given, CO_FAILED, "cancelled", 0);
         ec_reply(r, 200, "{}");
         return;
@@ -394,7 +394,7 @@
 
     if (e->s->conf->platform.resend_ms < GIVE_RESEND_MS ||
         closed_for(e, now) != NULL ||
-        !rl_give(&e->relay, now, c, host_of(c), path_of(c), body_of(c),
+        !rl_forward(&e->relay, now, c, host_of(c), path_of(c), body_of(c),
             left_ms(c->req))) {
         return false;
     }
@@ -404,7 +404,7 @@
 }
 
 static void
-begin_taken(void *ctx, struct rl_taken *t)
+begin_taken(void *ctx, struct rl_accepted *t)
 {
     struct entry *e = ctx;
     struct caller *c = dw_zero(1, sizeof(*c));
@@ -418,7 +418,7 @@
 }
 
 static void
-leave_taken(void *ctx, struct rl_taken *t)
+leave_taken(void *ctx, struct rl_accepted *t)
 {
     struct entry *e = ctx;
 
@@ -566,7 +566,7 @@
     if (c == NULL) {
         return;
     }
-    if (!it_drop(&e->intake, c) && !rl_drop(&e->relay, c)) {
+    if (!it_drop(&e->intake, c) && !rl_cancel(&e->relay, c)) {
         co_leave(&e->coord, proc_now(), c);
     }
     free(c);
--- a/entryd-int.h
+++ b/entryd-int.h
@@ -8,7 +8,7 @@
 #include "hist.h"
 #include "intake.h"
 #include "lag.h"
-#include "news.h"
+#include "opstate.h"
 #include "platform/follow.h"
 #include "rank.h"
 #include "relay.h"
@@ -18,7 +18,7 @@
 /* Who waits for a job: a caller here, or another entry for one there. */
 struct caller {
     struct web_req *req; /* NULL: the other */
-    struct rl_taken *taken;
+    struct rl_accepted *taken;
 };
 
 struct entry {
@@ -33,7 +33,7 @@
     struct relay relay;
     uint64_t given;
     uint64_t taken;
-    struct news news;
+    struct opstate news;
     struct hist answer_ms; /* from a request to its answer */
     uint64_t asked_last;   /* the entry asked for news last */
     uint64_t load_line_ms;
--- a/entryd.c
+++ b/entryd.c
@@ -27,7 +27,7 @@
 is_ready(const struct entry *e)
 {
     return !e->s->leaving && e->routes.version != 0 && !lg_is_out(&e->lag) &&
-           fl_sum_up(&e->coord.fleet, proc_now(), NULL, 1).capacity > 0;
+           fl_total(&e->coord.fleet, proc_now(), NULL, 1).capacity > 0;
 }
 
 /* Looks of the balancer that find an entry not ready until it gets no new
@@ -129,7 +129,7 @@
         web_close(e->ready);
     }
     rt_free(&e->routes);
-    nw_free(&e->news);
+    ost_free(&e->news);
     free(e);
 }
 
@@ -148,7 +148,7 @@
     }
     e->load_line_ms = now;
     if (jobs > 0) {
-        struct fl_sum sum = fl_sum_up(&c->fleet, now, NULL, 1);
+        struct fl_totals sum = fl_total(&c->fleet, now, NULL, 1);
 
         log_event(LOG_LEVEL_INFO, "load",
             "jobs=%zu pending=%zu waiting_ms=%" PRIu64 " capacity=%" PRId64
@@ -181,9 +181,9 @@
     struct rl_state state = {is_ready(e) && lg_has_time(&e->lag),
         (uint32_t)(e->lag.busy * 1000), e->routes.version};
 
-    rl_tell(&e->relay, &state);
+    rl_set_state(&e->relay, &state);
     if (!lg_has_time(&e->lag)) {
-        rl_need(&e->relay, now);
+        rl_need_peers(&e->relay, now);
     }
     rl_tick(&e->relay, now);
 }
@@ -198,10 +198,10 @@
     began_us = proc_now_us();
     co_tick(&e->coord, now);
     lg_probe(&e->lag, proc_now_us(), proc_now_us() - began_us,
-        FL_CHOSEN_MAX + co_running(&e->coord));
+        FL_SELECTED_MAX + co_running(&e->coord));
     en_keep_times(e, now);
     note_load(e, now);
-    if (nw_must_ask(&e->news, now)) {
+    if (ost_request_due(&e->news, now)) {
         en_ask_others(e);
     }
     if (s->leaving && e->accepting && now - s->leave_ms > ACCEPT_MS) {
@@ -237,10 +237,10 @@
         co_report(&e->coord, now, from, &m->dw_msg_u.report);
     }
     else if (m->type == DW_RELAY) {
-        rl_take(&e->relay, now, from, &m->dw_msg_u.relay);
+        rl_receive_requests(&e->relay, now, from, &m->dw_msg_u.relay);
     }
     else if (m->type == DW_RELAYED) {
-        rl_replies(&e->relay, now, from, &m->dw_msg_u.relayed);
+        rl_receive_replies(&e->relay, now, from, &m->dw_msg_u.relayed);
     }
     else if (m->type == DW_NEWS) {
         en_take_news(e, from, &m->dw_msg_u.news);
@@ -253,7 +253,7 @@
     struct entry *e = s->state;
 
     co_refused(&e->coord, now, id);
-    rl_refused(&e->relay, now, id);
+    rl_process_dead(&e->relay, now, id);
 }
 
 static void
@@ -272,7 +272,7 @@
 
     (void)now;
     return !e->accepting && co_running(&e->coord) == 0 &&
-           it_count(&e->intake) == 0 && rl_done(&e->relay) &&
+           it_count(&e->intake) == 0 && rl_replies_delivered(&e->relay) &&
            web_open_requests(e->callers) == 0;
 }
 
--- a/entrynews.c
+++ b/entrynews.c
@@ -38,7 +38,7 @@
             "count=%zu last=\"%s\"", left_out, why.msg);
     }
     version = fresh.version;
-    if (rt_adopt(&e->routes, &fresh)) {
+    if (rt_replace(&e->routes, &fresh)) {
         log_event(LOG_LEVEL_INFO, "config_in_force",
             "version=%" PRIu64 " routes=%zu", version, e->routes.count);
     }
@@ -47,7 +47,7 @@
 static void
 tell_withdrawn(struct entry *e)
 {
-    fl_withdraw(&e->coord.fleet, (const char *const *)e->news.withdrawn,
+    fl_set_withdrawn(&e->coord.fleet, (const char *const *)e->news.withdrawn,
         e->news.withdrawn_count);
 }
 
@@ -57,12 +57,12 @@
     const char *domain = it->key + sizeof(EVACUATE_PREFIX) - 1;
 
     if (strcmp(it->key, CONFIG_KEY) == 0 && !it->deleted) {
-        nw_config(&e->news, it->value, it->rev);
+        ost_set_config(&e->news, it->value, it->rev);
         take_config(e, it->value);
     }
     else if (strncmp(it->key, EVACUATE_PREFIX, sizeof(EVACUATE_PREFIX) - 1) ==
              0) {
-        nw_domain(&e->news, domain, !it->deleted, it->rev);
+        ost_set_domain(&e->news, domain, !it->deleted, it->rev);
         log_event(LOG_LEVEL_INFO, it->deleted ? "domain_back" : "domain_out",
             "domain=%s rev=%" PRIu64, domain, it->rev);
     }
@@ -73,11 +73,11 @@
 {
     struct entry *e = ctx;
 
-    nw_clear_domains(&e->news);
+    ost_clear_domains(&e->news);
     for (size_t i = 0; i < n; i++) {
         operators_item(e, &items[i]);
     }
-    nw_seen(&e->news, rev);
+    ost_set_known_rev(&e->news, rev);
     tell_withdrawn(e);
 }
 
@@ -87,7 +87,7 @@
     struct entry *e = ctx;
 
     operators_item(e, it);
-    nw_seen(&e->news, it->rev);
+    ost_set_known_rev(&e->news, it->rev);
     tell_withdrawn(e);
 }
 
@@ -103,7 +103,7 @@
 {
     struct entry *e = ctx;
 
-    nw_store(&e->news, proc_now(), answers);
+    ost_set_store_state(&e->news, proc_now(), answers);
     note_store(answers, message);
 }
 
@@ -118,7 +118,7 @@
     uint32_t asked = 0;
     dw_msg m;
 
-    nw_question(&e->news, &m);
+    ost_make_request(&e->news, &m);
     for (p = e->s->peers; p != NULL && asked < ASKED_MAX; p = p->hh.next) {
         if (!p->is_agent && p->entered && p->id != e->s->id &&
             p->id != e->asked_last) {
@@ -135,13 +135,14 @@
     dw_msg answer;
 
     if (told->question) {
-        nw_seen(&e->news, e->news.answers ? follow_rev(e->operators) : 0);
-        if (nw_answer(&e->news, told, &answer)) {
+        ost_set_known_rev(
+            &e->news, e->news.store_up ? follow_rev(e->operators) : 0);
+        if (ost_make_reply(&e->news, told, &answer)) {
             link_send(e->s->link, from, &answer);
             xdr_free((xdrproc_t)xdr_dw_msg, &answer);
         }
     }
-    else if (nw_take(&e->news, told)) {
+    else if (ost_apply_reply(&e->news, told)) {
         log_event(LOG_LEVEL_INFO, "news_from_entry",
             "entry=%016" PRIx64 " as_of=%" PRIu64, from,
             (uint64_t)told->as_of);
@@ -177,7 +178,7 @@
     if (!p->is_agent) {
         rk_in(&e->ranks, p->name, p->domain);
         find_rank(e);
-        rl_entry_in(&e->relay, p->id);
+        rl_add_entry(&e->relay, p->id);
         return;
     }
     a = fl_add(&e->coord.fleet, p->id, p->name, p->domain, p->service);
@@ -210,7 +211,7 @@
         return;
     }
     buf_addf(&key, TIMES_PREFIX "%s", e->s->conf->node.me.name);
-    gs_save(&e->coord.times, &value);
+    es_save(&e->coord.times, &value);
     if (value.n > 0) {
         kv_put(e->s->kv, key.p, buf_str(&value), a->lease, on_times_kept, e);
     }
@@ -221,15 +222,15 @@
 void
 en_keep_times(struct entry *e, uint64_t now)
 {
-    if (gs_keep_due(&e->coord.times, now)) {
-        kv_lease(e->s->kv, GS_KEEP_MS, on_times_lease, e);
+    if (es_save_due(&e->coord.times, now)) {
+        kv_lease(e->s->kv, ES_SAVED_TTL_MS, on_times_lease, e);
     }
 }
 
 static void
 times_change(struct entry *e, const struct kv_item *it)
 {
-    if (!it->deleted && !gs_load(&e->coord.times, it->value)) {
+    if (!it->deleted && !es_load(&e->coord.times, it->value)) {
         log_event(LOG_LEVEL_WARN, "times_unreadable", "key=%s", it->key);
     }
 }
@@ -250,7 +251,7 @@
         }
         p->entered = false;
         if (!p->is_agent) {
-            rl_entry_out(&e->relay, p->id);
+            rl_remove_entry(&e->relay, p->id);
         }
         if (a != NULL) {
             a->member = false;
@@ -313,7 +314,7 @@
 void
 en_open(struct entry *e)
 {
-    e->news.answers = true;
+    e->news.store_up = true;
     e->operators = follow_new(
         e->s->loop, e->s->kv, "op/", WATCH_OPERATORS_MS, &operators_events, e);
     e->members = follow_new(
--- a/fleet.c
+++ b/fleet.c
@@ -9,30 +9,32 @@
 #include "str.h"
 
 /*
- * A worker that fails this share of its runs gets one run at a time.  One
- * that fails less is still of use when the sound ones are full: it comes last
- * in the choice, and takes only tasks that have not failed yet, as attempts
- * are few.  Bad tasks fail everywhere; so a share counts only where it is
- * far above the mean of all.
+ * A worker that fails PROBATION_PERMILLE of its runs is put on probation: it
+ * gets one run at a time.  From UNRELIABLE_PERMILLE on it is still useful when
+ * healthy workers are full, but is picked last and gets only tasks that have
+ * not failed yet, as their attempts are limited.  Faulty tasks fail on every
+ * worker, so a worker only counts as unreliable if its share also exceeds
+ * UNRELIABLE_FACTOR times the mean.
+ */
+#define PROBATION_PERMILLE 750U
+#define UNRELIABLE_PERMILLE 150U
+#define UNRELIABLE_FACTOR 2U
+/* A worker at this percentage of the median speed, or below, is slow.  Healthy
+ * machines differ by 0.8 to 1.25; slow ones take four to eight times as long.
  */
-#define SICK_PERMILLE 750U
-#define RISKY_PERMILLE 150U
-#define RISKY_TIMES 2U
-/* A worker at this part of the usual speed, or below, is slow.  Machines
- * differ by 0.8 to 1.25; slow ones take four to eight times as long. */
 #define SLOW_PERCENT 40U
-/* ms between single runs that try a slow worker without runs. */
-#define PROBE_MS 500U
-/* ms of the first probation; it doubles up to the longest. */
-#define SICK_MIN_MS 500U
-#define SICK_MAX_MS 4000U
+/* ms between single runs that probe an idle slow worker. */
+#define PROBE_INTERVAL_MS 500U
+/* ms of the first probation, which doubles up to the maximum. */
+#define PROBATION_MIN_MS 500U
+#define PROBATION_MAX_MS 4000U
 
 void
 fl_init(struct fleet *f, uint64_t seed, const char *domain)
 {
     *f = (struct fleet){0};
     f->seed = seed;
-    f->speed = 1000;
+    f->median_speed_permille = 1000;
     str_copy(f->domain, sizeof(f->domain), str_of(domain));
 }
 
@@ -64,9 +66,9 @@
 }
 
 static void
-drop_pending(struct fl_agent *a, uint64_t upto)
+drop_pending(struct fl_agent *a, uint64_t acked_seq)
 {
-    while (a->pending != NULL && a->pending->seq <= upto) {
+    while (a->pending != NULL && a->pending->seq <= acked_seq) {
         struct fl_pending *p = a->pending;
 
         a->pending = p->next;
@@ -81,10 +83,10 @@
     msg_free(a->batch);
     a->batch = NULL;
     a->batch_millicores = a->batch_memory_mb = a->batch_gpus = 0;
-    a->live = false;
-    a->want = (dw_want){0, 0, 0, 0};
-    a->out = 0;
-    memset(&a->room, 0, sizeof(a->room));
+    a->session_open = false;
+    a->demand = (dw_want){0, 0, 0, 0};
+    a->active_runs = 0;
+    memset(&a->status, 0, sizeof(a->status));
     sess_end(&a->sess);
 }
 
@@ -109,7 +111,7 @@
 }
 
 void
-fl_withdraw(struct fleet *f, const char *const *domains, size_t n)
+fl_set_withdrawn(struct fleet *f, const char *const *domains, size_t n)
 {
     struct fl_agent *a;
 
@@ -121,31 +123,31 @@
     }
 }
 
-/* --- whom to keep sessions with --- */
+/* --- selection of agents to keep sessions with --- */
 
-/* Not worth a session while there are others. */
+/* To be selected only if there are not enough others. */
 static bool
-on_standby(const struct fl_agent *a, uint64_t now)
+is_last_resort(const struct fl_agent *a, uint64_t now)
 {
-    return a->withdrawn || a->room.draining ||
-           (!a->live && a->wanted_ms != 0 &&
-               now - a->wanted_ms > FL_UNANSWERED_MS);
+    return a->withdrawn || a->status.draining ||
+           (!a->session_open && a->selected_ms != 0 &&
+               now - a->selected_ms > FL_NO_REPLY_MS);
 }
 
 struct candidate {
     struct fl_agent *agent;
-    bool standby;
-    bool near;      /* in the entry's own domain */
-    uint64_t score; /* by its name, which a restart keeps */
+    bool last_resort;
+    bool local;         /* in the entry's own failure domain */
+    uint64_t name_hash; /* unlike the id, survives a restart */
 };
 
-/* One order of agents for all entries. */
-#define RANK_SEED 0x6167656e74U
+/* The same in all entries, so that they order agents alike. */
+#define NAME_HASH_SEED 0x6167656e74U
 
-/* By service, near before far.  Standby does not count here: one worker that
- * drains would move all others to other places. */
+/* By service, local agents first.  last_resort is not compared: one worker
+ * that drains would change the positions of all others. */
 static int
-by_rank(const void *a, const void *b)
+compare_candidates(const void *a, const void *b)
 {
     const struct candidate *x = a;
     const struct candidate *y = b;
@@ -154,161 +156,165 @@
     if (order != 0) {
         return order;
     }
-    if (x->near != y->near) {
-        return x->near ? -1 : 1;
+    if (x->local != y->local) {
+        return x->local ? -1 : 1;
     }
-    if (x->score != y->score) {
-        return x->score < y->score ? -1 : 1;
+    if (x->name_hash != y->name_hash) {
+        return x->name_hash < y->name_hash ? -1 : 1;
     }
     return (x->agent->id > y->agent->id) - (x->agent->id < y->agent->id);
 }
 
-/* Choose up to `most` of n, beginning where the entries before this one end:
- * so each agent is chosen about as often as any other. */
+/* Selects up to max of n, starting where the selection of the entry with the
+ * preceding rank ends, so that all agents are selected about equally often.
+ * Returns the number selected. */
 static size_t
-choose_from(
-    struct candidate *c, size_t n, uint32_t rank, size_t most, bool standby)
+select_from(
+    struct candidate *c, size_t n, uint32_t rank, size_t max, bool last_resort)
 {
-    size_t at = n > 0 ? (size_t)rank * FL_NEAR_MAX % n : 0;
-    size_t chosen = 0;
+    size_t at = n > 0 ? (size_t)rank * FL_LOCAL_MAX % n : 0;
+    size_t selected = 0;
 
-    for (size_t k = 0; k < n && chosen < most; k++) {
-        if (!c[at].agent->chosen && (standby || !c[at].standby)) {
-            c[at].agent->chosen = true;
-            chosen++;
+    for (size_t k = 0; k < n && selected < max; k++) {
+        if (!c[at].agent->selected && (last_resort || !c[at].last_resort)) {
+            c[at].agent->selected = true;
+            selected++;
         }
         at = at + 1 < n ? at + 1 : 0;
     }
-    return chosen;
+    return selected;
 }
 
 static void
-note_wanted(struct fl_agent *a, uint64_t now)
+update_selected_ms(struct fl_agent *a, uint64_t now)
 {
-    if (now - a->wanted_ms > FL_TRY_AGAIN_MS || a->live) {
-        a->wanted_ms = 0;
+    if (now - a->selected_ms > FL_RETRY_MS || a->session_open) {
+        a->selected_ms = 0;
     }
-    if (a->chosen && a->wanted_ms == 0) {
-        a->wanted_ms = now;
+    if (a->selected && a->selected_ms == 0) {
+        a->selected_ms = now;
     }
 }
 
-/* Of one service, in the order of by_rank(). */
+/* Selects among the agents of one service, sorted by compare_candidates(). */
 static void
-choose_some(struct fleet *f, uint64_t now, struct candidate *c, size_t n)
+select_for_service(
+    struct fleet *f, uint64_t now, struct candidate *c, size_t n)
 {
-    size_t near = 0;
-    size_t chosen;
+    size_t local = 0;
+    size_t selected;
 
     for (size_t i = 0; i < n; i++) {
-        c[i].agent->chosen = false;
-        near += c[i].near;
-    }
-    chosen = choose_from(c, near, f->near_rank, FL_NEAR_MAX, false);
-    chosen += choose_from(
-        c + near, n - near, f->rank, FL_CHOSEN_MAX - chosen, false);
-    /* What one part lacks the other fills, and those on standby the rest. */
-    chosen +=
-        choose_from(c, near, f->near_rank, FL_CHOSEN_MAX - chosen, false);
-    choose_from(c, n, f->rank, FL_CHOSEN_MAX - chosen, true);
+        c[i].agent->selected = false;
+        local += c[i].local;
+    }
+    selected = select_from(c, local, f->local_rank, FL_LOCAL_MAX, false);
+    selected += select_from(
+        c + local, n - local, f->rank, FL_SELECTED_MAX - selected, false);
+    /* A shortage of remote agents is made up by local ones, and any shortage
+     * by agents of last resort. */
+    selected += select_from(
+        c, local, f->local_rank, FL_SELECTED_MAX - selected, false);
+    select_from(c, n, f->rank, FL_SELECTED_MAX - selected, true);
     for (size_t i = 0; i < n; i++) {
-        note_wanted(c[i].agent, now);
+        update_selected_ms(c[i].agent, now);
     }
 }
 
 void
-fl_set_rank(struct fleet *f, uint32_t near_rank, uint32_t rank)
+fl_set_rank(struct fleet *f, uint32_t local_rank, uint32_t rank)
 {
-    f->near_rank = near_rank;
+    f->local_rank = local_rank;
     f->rank = rank;
 }
 
 void
-fl_choose(struct fleet *f, uint64_t now)
+fl_select(struct fleet *f, uint64_t now)
 {
     size_t count = HASH_COUNT(f->agents);
     struct candidate *c;
     struct fl_agent *a;
     size_t n = 0;
-    size_t from = 0;
+    size_t first = 0;
 
-    f->whole = count <= FL_CHOSEN_MAX || now < f->wide_until_ms;
-    if (f->whole) {
+    f->all_selected = count <= FL_SELECTED_MAX || now < f->select_all_until_ms;
+    if (f->all_selected) {
         for (a = f->agents; a != NULL; a = a->hh.next) {
-            a->chosen = true;
+            a->selected = true;
         }
         return;
     }
-    if (f->chose_ms != 0 && now - f->chose_ms < FL_CHOOSE_MS) {
+    if (f->selected_ms != 0 && now - f->selected_ms < FL_SELECT_INTERVAL_MS) {
         return;
     }
-    f->chose_ms = now;
+    f->selected_ms = now;
     c = dw_zero(count, sizeof(*c));
     for (a = f->agents; a != NULL; a = a->hh.next) {
-        c[n++] = (struct candidate){a, on_standby(a, now),
+        c[n++] = (struct candidate){a, is_last_resort(a, now),
             strcmp(a->domain, f->domain) == 0,
-            str_hash(str_of(a->name), RANK_SEED)};
+            str_hash(str_of(a->name), NAME_HASH_SEED)};
     }
-    qsort(c, n, sizeof(*c), by_rank);
+    qsort(c, n, sizeof(*c), compare_candidates);
     for (size_t i = 1; i <= n; i++) {
         if (i == n ||
-            strcmp(c[i].agent->service, c[from].agent->service) != 0) {
-            choose_some(f, now, c + from, i - from);
-            from = i;
+            strcmp(c[i].agent->service, c[first].agent->service) != 0) {
+            select_for_service(f, now, c + first, i - first);
+            first = i;
         }
     }
     free(c);
 }
 
 bool
-fl_widen(struct fleet *f, uint64_t now)
+fl_select_all(struct fleet *f, uint64_t now)
 {
-    if (f->whole) {
+    if (f->all_selected) {
         return false;
     }
-    f->wide_until_ms = now + FL_WIDE_MS;
+    f->select_all_until_ms = now + FL_SELECT_ALL_MS;
     return true;
 }
 
 void
-fl_leave_out(struct fl_agent *a, uint64_t now)
+fl_deselect(struct fl_agent *a, uint64_t now)
 {
-    /* Asked again at once it would say the same, and so each time. */
-    if (a->room.draining) {
-        a->wanted_ms = now - FL_UNANSWERED_MS - 1;
+    /* Not selected again before FL_RETRY_MS: it would still be draining, and
+     * the session would be closed and opened repeatedly. */
+    if (a->status.draining) {
+        a->selected_ms = now - FL_NO_REPLY_MS - 1;
     }
-    else if (a->live) {
-        a->wanted_ms = 0;
+    else if (a->session_open) {
+        a->selected_ms = 0;
     }
     fl_close(a);
 }
 
 bool
-fl_idle(const struct fl_agent *a)
+fl_is_idle(const struct fl_agent *a)
 {
-    return a->out == 0 && a->batch == NULL && a->sess.head == NULL;
+    return a->active_runs == 0 && a->batch == NULL && a->sess.head == NULL;
 }
 
 void
 fl_open(struct fleet *f, uint64_t now, struct fl_agent *a)
 {
-    /* Rising, so that an agent knows a session's successor from a message
-     * of an earlier one; the chance tells entries apart. */
+    /* Numbers rise, so that an agent can tell a new session from a message of
+     * an earlier one; the random bits keep the numbers of entries apart. */
     f->seed = mix64(f->seed, now);
     sess_begin(&a->sess, (now << 16) | (f->seed & 0xffff));
     a->opened_ms = now;
 }
 
-/* What is free, less all orders that the room does not cover. */
+/* Reported free capacity less all orders that the report does not cover. */
 static void
-count_free(struct fl_agent *a)
+compute_free(struct fl_agent *a)
 {
     const struct fl_pending *p;
 
     a->free_millicores =
-        a->room.free_millicores - (int64_t)a->batch_millicores;
-    a->free_memory_mb = a->room.free_memory_mb - (int64_t)a->batch_memory_mb;
-    a->free_gpus = a->room.free_gpus - (int64_t)a->batch_gpus;
+        a->status.free_millicores - (int64_t)a->batch_millicores;
+    a->free_memory_mb = a->status.free_memory_mb - (int64_t)a->batch_memory_mb;
+    a->free_gpus = a->status.free_gpus - (int64_t)a->batch_gpus;
     for (p = a->pending; p != NULL; p = p->next) {
         a->free_millicores -= p->millicores;
         a->free_memory_mb -= p->memory_mb;
@@ -317,26 +323,26 @@
 }
 
 void
-fl_room(struct fl_agent *a, uint64_t ack, const dw_room *room)
+fl_update_status(struct fl_agent *a, uint64_t ack, const dw_room *status)
 {
-    a->room = *room;
+    a->status = *status;
     drop_pending(a, ack);
-    count_free(a);
+    compute_free(a);
 }
 
 void
-fl_reserve(struct fl_agent *a, uint64_t now, const struct fl_need *need)
+fl_reserve(struct fl_agent *a, uint64_t now, const struct fl_requirements *req)
 {
-    a->batch_millicores += need->millicores;
-    a->batch_memory_mb += need->memory_mb;
-    a->batch_gpus += need->gpus;
-    a->out++;
-    a->probed_ms = now;
-    count_free(a);
+    a->batch_millicores += req->millicores;
+    a->batch_memory_mb += req->memory_mb;
+    a->batch_gpus += req->gpus;
+    a->active_runs++;
+    a->run_sent_ms = now;
+    compute_free(a);
 }
 
 void
-fl_sent(struct fl_agent *a, uint64_t seq)
+fl_batch_sent(struct fl_agent *a, uint64_t seq)
 {
     struct fl_pending *p = dw_zero(1, sizeof(*p));
     struct fl_pending **at = &a->pending;
@@ -353,106 +359,110 @@
 }
 
 void
-fl_note_end(struct fl_agent *a, uint64_t now, dw_end how)
+fl_run_ended(struct fl_agent *a, uint64_t now, dw_end outcome)
 {
-    if (a->out > 0) {
-        a->out--;
+    if (a->active_runs > 0) {
+        a->active_runs--;
     }
-    if (how != DW_END_DONE && how != DW_END_FAILED) {
+    if (outcome != DW_END_DONE && outcome != DW_END_FAILED) {
         return;
     }
-    a->fail_permille = rn_fail_share(a->fail_permille, how == DW_END_FAILED);
-    if (how == DW_END_DONE) {
-        a->sick_ms = 0;
-        a->sick_until_ms = 0;
+    a->fail_permille =
+        rn_fail_share(a->fail_permille, outcome == DW_END_FAILED);
+    if (outcome == DW_END_DONE) {
+        a->probation_ms = 0;
+        a->probation_until_ms = 0;
     }
-    else if (a->fail_permille >= SICK_PERMILLE && a->sick_until_ms <= now) {
-        a->sick_ms = (uint32_t)num_min(
-            a->sick_ms == 0 ? SICK_MIN_MS : 2 * a->sick_ms, SICK_MAX_MS);
-        a->sick_until_ms = now + a->sick_ms;
+    else if (a->fail_permille >= PROBATION_PERMILLE &&
+             a->probation_until_ms <= now) {
+        a->probation_ms = (uint32_t)num_min(
+            a->probation_ms == 0 ? PROBATION_MIN_MS : 2 * a->probation_ms,
+            PROBATION_MAX_MS);
+        a->probation_until_ms = now + a->probation_ms;
     }
 }
 
 bool
-fl_usable(const struct fl_agent *a, uint64_t now)
+fl_is_usable(const struct fl_agent *a, uint64_t now)
 {
-    return a->live && sess_live(&a->sess, now) && a->room.serving &&
-           !a->room.draining && !a->withdrawn;
+    return a->session_open && sess_live(&a->sess, now) && a->status.serving &&
+           !a->status.draining && !a->withdrawn;
 }
 
 static bool
-has_room(const struct fl_agent *a, const struct fl_need *need)
+has_free_capacity(const struct fl_agent *a, const struct fl_requirements *req)
 {
-    return a->free_millicores >= (int64_t)need->millicores &&
-           a->free_memory_mb >= (int64_t)need->memory_mb &&
-           a->free_gpus >= (int64_t)need->gpus;
+    return a->free_millicores >= (int64_t)req->millicores &&
+           a->free_memory_mb >= (int64_t)req->memory_mb &&
+           a->free_gpus >= (int64_t)req->gpus;
 }
 
-/* Of runs that ended there lately: this entry's, or all entries', which the
- * agent tells. */
+/* Permille of recent runs there that failed: this entry's, or all entries' as
+ * reported by the agent. */
 static uint32_t
 fail_share(const struct fl_agent *a)
 {
-    return (uint32_t)num_max(a->fail_permille, a->room.fail_permille);
+    return (uint32_t)num_max(a->fail_permille, a->status.fail_permille);
 }
 
 /* A worker on probation gets one run at a time. */
 static bool
 on_probation(const struct fl_agent *a, uint64_t now)
 {
-    if (a->sick_until_ms > now || (a->sick_ms > 0 && a->out > 0)) {
+    if (a->probation_until_ms > now ||
+        (a->probation_ms > 0 && a->active_runs > 0)) {
         return true;
     }
-    /* Others have seen it fail: each entry tries it by itself. */
-    return a->room.fail_permille >= SICK_PERMILLE &&
-           (a->out > 0 || now - a->probed_ms < SICK_MIN_MS);
+    /* It failed runs of other entries: each entry probes it separately. */
+    return a->status.fail_permille >= PROBATION_PERMILLE &&
+           (a->active_runs > 0 || now - a->run_sent_ms < PROBATION_MIN_MS);
 }
 
 static void
-learn_failures(struct fleet *f, uint64_t now)
+update_mean_failures(struct fleet *f, uint64_t now)
 {
     const struct fl_agent *a;
     uint64_t sum = 0;
     uint64_t n = 0;
 
     for (a = f->agents; a != NULL; a = a->hh.next) {
-        if (fl_usable(a, now)) {
+        if (fl_is_usable(a, now)) {
             sum += fail_share(a);
             n++;
         }
     }
-    f->fail_permille = n > 0 ? (uint32_t)(sum / n) : 0;
+    f->mean_fail_permille = n > 0 ? (uint32_t)(sum / n) : 0;
 }
 
 static bool
-is_risky(const struct fleet *f, const struct fl_agent *a)
+is_unreliable(const struct fleet *f, const struct fl_agent *a)
 {
-    return fail_share(a) >= RISKY_PERMILLE &&
-           fail_share(a) > RISKY_TIMES * f->fail_permille;
+    return fail_share(a) >= UNRELIABLE_PERMILLE &&
+           fail_share(a) > UNRELIABLE_FACTOR * f->mean_fail_permille;
 }
 
-/* More than speed and free cores together can make up for. */
-#define RISKY_PENALTY 5.0
+/* Exceeds what speed and free cores can add to a score. */
+#define UNRELIABLE_PENALTY 5.0
 
-/* Speed first, then the freer; a little chance keeps entries from choosing
- * the same worker in the same moment. */
+/* Speed counts most, then the free share; the random part keeps entries from
+ * picking the same worker at the same moment. */
 static double
 score(struct fleet *f, const struct fl_agent *a)
 {
     double free_part =
-        (double)a->free_millicores / (double)num_max(a->room.millicores, 1);
+        (double)a->free_millicores / (double)num_max(a->status.millicores, 1);
     uint32_t speed =
-        fl_slow(f, a) ? a->room.pace_permille : a->room.speed_permille;
-    double chance;
+        fl_is_slow(f, a) ? a->status.pace_permille : a->status.speed_permille;
+    double random_part;
 
     f->seed = mix64(f->seed, a->id);
-    chance = (double)(f->seed & 0xff) / 256.0;
-    return (double)speed / 1000.0 + 0.5 * free_part + 0.1 * chance -
-           (is_risky(f, a) ? RISKY_PENALTY : 0.0);
+    random_part = (double)(f->seed & 0xff) / 256.0;
+    return (double)speed / 1000.0 + 0.5 * free_part + 0.1 * random_part -
+           (is_unreliable(f, a) ? UNRELIABLE_PENALTY : 0.0);
 }
 
 static int
-by_number(const void *a, const void *b)
+compare_uint32(const void *a, const void *b)
 {
     uint32_t x = *(const uint32_t *)a;
     uint32_t y = *(const uint32_t *)b;
@@ -460,76 +470,78 @@
     return (x > y) - (x < y);
 }
 
-/* Workers looked at for the median; more tell nothing new. */
+/* Workers sampled for the median; more would hardly change it. */
 #define MEDIAN_MAX 128U
 
 static void
-learn_speed(struct fleet *f, uint64_t now)
+update_median_speed(struct fleet *f, uint64_t now)
 {
     const struct fl_agent *a;
     uint32_t speeds[MEDIAN_MAX];
     size_t n = 0;
 
     for (a = f->agents; a != NULL && n < MEDIAN_MAX; a = a->hh.next) {
-        if (fl_usable(a, now)) {
-            speeds[n++] = a->room.speed_permille;
+        if (fl_is_usable(a, now)) {
+            speeds[n++] = a->status.speed_permille;
         }
     }
-    qsort(speeds, n, sizeof(speeds[0]), by_number);
-    f->speed = n > 0 ? speeds[n / 2] : 1000;
+    qsort(speeds, n, sizeof(speeds[0]), compare_uint32);
+    f->median_speed_permille = n > 0 ? speeds[n / 2] : 1000;
 }
 
 void
-fl_learn(struct fleet *f, uint64_t now)
+fl_update_stats(struct fleet *f, uint64_t now)
 {
-    learn_speed(f, now);
-    learn_failures(f, now);
+    update_median_speed(f, now);
+    update_mean_failures(f, now);
 }
 
 bool
-fl_slow(const struct fleet *f, const struct fl_agent *a)
+fl_is_slow(const struct fleet *f, const struct fl_agent *a)
 {
-    return (uint64_t)a->room.pace_permille * 100 <=
-           (uint64_t)f->speed * SLOW_PERCENT;
+    return (uint64_t)a->status.pace_permille * 100 <=
+           (uint64_t)f->median_speed_permille * SLOW_PERCENT;
 }
 
 /*
- * While some workers are slow the others are full, and the slow ones look
- * free.  Waiting for a sound one costs less than running on a slow one, for
- * as long as the wait is shorter than what the slow run takes longer.
+ * While some workers are slow, the others are full and only the slow ones have
+ * free capacity.  Waiting for a fast worker is worthwhile as long as the wait
+ * is shorter than the extra time that the run takes on the slow one.
  */
 static bool
-worth_waiting(const struct fleet *f, const struct fl_agent *a, uint64_t now,
-    const struct fl_need *need)
+should_wait(const struct fleet *f, const struct fl_agent *a, uint64_t now,
+    const struct fl_requirements *req)
 {
-    uint64_t there =
-        (uint64_t)need->est_ms * 1000 / num_max(a->room.pace_permille, 1);
-    uint64_t usual = (uint64_t)need->est_ms * 1000 / num_max(f->speed, 1);
+    uint64_t slow_run_ms =
+        (uint64_t)req->est_ms * 1000 / num_max(a->status.pace_permille, 1);
+    uint64_t usual_ms =
+        (uint64_t)req->est_ms * 1000 / num_max(f->median_speed_permille, 1);
 
-    if (!fl_slow(f, a)) {
+    if (!fl_is_slow(f, a)) {
         return false;
     }
-    if (!need->quick && a->out == 0 && now - a->probed_ms >= PROBE_MS) {
-        return false; /* or it would never be seen to be sound again */
+    if (!req->fast_only && a->active_runs == 0 &&
+        now - a->run_sent_ms >= PROBE_INTERVAL_MS) {
+        return false; /* a probe: only a run can show that it has recovered */
     }
-    return need->quick || need->waited_ms < there - usual;
+    return req->fast_only || req->waited_ms < slow_run_ms - usual_ms;
 }
 
 static bool
-may_take(const struct fleet *f, const struct fl_agent *a, uint64_t now,
-    const struct fl_need *need)
+is_eligible(const struct fleet *f, const struct fl_agent *a, uint64_t now,
+    const struct fl_requirements *req)
 {
-    return fl_usable(a, now) && strcmp(a->service, need->service) == 0 &&
-           has_room(a, need) && !on_probation(a, now) &&
-           !worth_waiting(f, a, now, need) &&
-           (a->room.left_ms == UINT32_MAX ||
-               need->est_ms <= a->room.left_ms) &&
-           !(need->quick && a->id == need->avoid) &&
-           !(need->failed && is_risky(f, a));
+    return fl_is_usable(a, now) && strcmp(a->service, req->service) == 0 &&
+           has_free_capacity(a, req) && !on_probation(a, now) &&
+           !should_wait(f, a, now, req) &&
+           (a->status.left_ms == UINT32_MAX ||
+               req->est_ms <= a->status.left_ms) &&
+           !(req->fast_only && a->id == req->avoid_agent) &&
+           !(req->failed && is_unreliable(f, a));
 }
 
 struct fl_agent *
-fl_pick(struct fleet *f, uint64_t now, const struct fl_need *need)
+fl_pick(struct fleet *f, uint64_t now, const struct fl_requirements *req)
 {
     struct fl_agent *best = NULL;
     struct fl_agent *a;
@@ -538,10 +550,10 @@
     for (a = f->agents; a != NULL; a = a->hh.next) {
         double s;
 
-        if (!may_take(f, a, now, need)) {
+        if (!is_eligible(f, a, now, req)) {
             continue;
         }
-        s = score(f, a) - (a->id == need->avoid ? 10.0 : 0.0);
+        s = score(f, a) - (a->id == req->avoid_agent ? 10.0 : 0.0);
         if (best == NULL || s > best_score) {
             best = a;
             best_score = s;
@@ -550,16 +562,18 @@
     return best;
 }
 
-/* What a core there does, 1: as much as usual. */
+/* Work per core and time; 1: as much as usual. */
 static double
 relative_pace(const struct fleet *f, const struct fl_agent *a)
 {
-    return fl_slow(f, a) ? (double)a->room.pace_permille / f->speed : 1;
+    return fl_is_slow(f, a)
+               ? (double)a->status.pace_permille / f->median_speed_permille
+               : 1;
 }
 
-/* Rests of workers that hold no task are no room. */
+/* Free cores that do not suffice for a task are no free capacity. */
 static double
-whole_tasks(int64_t free_millicores, uint32_t task_millicores)
+round_to_tasks(int64_t free_millicores, uint32_t task_millicores)
 {
     int64_t task = (int64_t)num_max(task_millicores, 1);
 
@@ -569,60 +583,61 @@
 }
 
 static bool
-is_coming_back(const struct fl_agent *a, uint64_t now)
+is_recovering(const struct fl_agent *a, uint64_t now)
 {
-    return a->chosen && a->member && !a->withdrawn && !a->live &&
-           a->silent_ms != 0 && now - a->silent_ms < FL_RETURN_MS;
+    return a->selected && a->member && !a->withdrawn && !a->session_open &&
+           a->closed_ms != 0 && now - a->closed_ms < FL_RECOVERY_MS;
 }
 
-struct fl_sum
-fl_sum_up(const struct fleet *f, uint64_t now, const char *service,
+struct fl_totals
+fl_total(const struct fleet *f, uint64_t now, const char *service,
     uint32_t task_millicores)
 {
-    struct fl_sum sum = {0, 0, 0, 1};
+    struct fl_totals sum = {0, 0, 0, 1};
     const struct fl_agent *a;
     int64_t usable = 0;
-    int64_t coming = 0;
+    int64_t recovering = 0;
     double free_millicores = 0;
     double runs = 0;
-    double paced = 0;
+    double paced_runs = 0;
 
     for (a = f->agents; a != NULL; a = a->hh.next) {
         if (service != NULL && strcmp(a->service, service) != 0) {
             continue;
         }
-        if (!fl_usable(a, now)) {
-            coming += is_coming_back(a, now);
+        if (!fl_is_usable(a, now)) {
+            recovering += is_recovering(a, now);
             continue;
         }
         usable++;
-        sum.capacity += a->room.millicores;
+        sum.capacity += a->status.millicores;
         free_millicores += relative_pace(f, a) *
-                           whole_tasks(a->free_millicores, task_millicores);
-        runs += a->out;
-        paced += a->out * relative_pace(f, a);
+                           round_to_tasks(a->free_millicores, task_millicores);
+        runs += a->active_runs;
+        paced_runs += a->active_runs * relative_pace(f, a);
     }
     sum.free = (int64_t)free_millicores;
-    /* As large as the others. */
-    sum.coming = usable > 0 ? sum.capacity / usable * coming : 0;
-    sum.pace = runs > 0 ? paced / runs : 1;
+    /* Assumes that they are as large as the usable ones. */
+    sum.recovering = usable > 0 ? sum.capacity / usable * recovering : 0;
+    sum.mean_pace = runs > 0 ? paced_runs / runs : 1;
     return sum;
 }
 
 bool
-fl_never_fits(const struct fleet *f, uint64_t now, const struct fl_need *need)
+fl_never_fits(
+    const struct fleet *f, uint64_t now, const struct fl_requirements *req)
 {
     const struct fl_agent *a;
     bool any = false;
 
     for (a = f->agents; a != NULL; a = a->hh.next) {
-        if (!fl_usable(a, now) || strcmp(a->service, need->service) != 0) {
+        if (!fl_is_usable(a, now) || strcmp(a->service, req->service) != 0) {
             continue;
         }
         any = true;
-        if (a->room.millicores >= need->millicores &&
-            a->room.memory_mb >= need->memory_mb &&
-            a->room.gpus >= need->gpus) {
+        if (a->status.millicores >= req->millicores &&
+            a->status.memory_mb >= req->memory_mb &&
+            a->status.gpus >= req->gpus) {
             return false;
         }
     }
--- a/relay.c
+++ b/relay.c
@@ -6,199 +6,206 @@
 
 #include "num.h"
 
-/* ms after its session that a giver is forgotten; messages of an earlier
- * session are too old to be taken long before. */
+/* ms after the end of its session until an origin is removed; messages of that
+ * session are too old to be accepted long before. */
 #define FORGET_MS 60000U
-/* Taken to make its taker so much busier, until that tells. */
-#define GIVEN_PERMILLE 10U
+/* Processor use that a forwarded request is assumed to add to its peer until
+ * the peer's next report. */
+#define FORWARDED_PERMILLE 10U
 
-#define PATH_SEED 0x70617468U
+#define PATH_HASH_SEED 0x70617468U
 
-/* Of a reply's reason, one word. */
+/* Bytes of a reply's reason, which is one word, with its NUL. */
 #define REASON_MAX 64U
 
-static const dw_how hows[] = {
+static const dw_how outcome_codes[] = {
     [CO_COMPLETED] = DW_HOW_COMPLETED,
     [CO_FAILED] = DW_HOW_FAILED,
     [CO_GAVE_UP] = DW_HOW_GAVE_UP,
     [CO_NOT_RUN] = DW_HOW_NOT_RUN,
 };
 
-/* What is not understood may have run. */
+/* Of an unknown code nothing is known, so the request may have run. */
 static enum co_outcome
-outcome_of(dw_how how)
+outcome_of(dw_how code)
 {
-    for (size_t i = 0; i < sizeof(hows) / sizeof(hows[0]); i++) {
-        if (hows[i] == how) {
+    for (size_t i = 0; i < sizeof(outcome_codes) / sizeof(outcome_codes[0]);
+         i++) {
+        if (outcome_codes[i] == code) {
             return (enum co_outcome)i;
         }
     }
     return CO_GAVE_UP;
 }
 
-struct rl_given {
+struct rl_forwarded {
     uint64_t ref;
     void *handle;
     uint64_t path_hash;
-    struct rl_given *prev;
-    struct rl_given *next;
+    struct rl_forwarded *prev;
+    struct rl_forwarded *next;
 };
 
-/* --- the giver's side --- */
+/* --- origin side --- */
 
-static struct rl_taker *
-find_taker(const struct relay *r, uint64_t id)
+static struct rl_peer *
+find_peer(const struct relay *r, uint64_t id)
 {
-    struct rl_taker *t;
+    struct rl_peer *p;
 
-    HASH_FIND(hh, r->takers, &id, sizeof(id), t);
-    return t;
+    HASH_FIND(hh, r->peers, &id, sizeof(id), p);
+    return p;
 }
 
 static void
-remove_given(struct rl_taker *t, struct rl_given *g)
+remove_forwarded(struct rl_peer *p, struct rl_forwarded *f)
 {
-    DL_DELETE(t->given, g);
-    free(g);
+    DL_DELETE(p->forwarded, f);
+    free(f);
 }
 
-/* What it was given may run there; nobody else can say that it has not. */
+/* Requests forwarded to the peer may have run: only the peer could report that
+ * they have not. */
 static void
-end_taker(struct relay *r, uint64_t now, struct rl_taker *t, const char *why)
+end_peer_session(
+    struct relay *r, uint64_t now, struct rl_peer *p, const char *why)
 {
-    if (t->live) {
-        r->ops->note(r->ctx, t->id, why, now - t->sess.heard_ms);
+    if (p->session_open) {
+        r->ops->note(r->ctx, p->id, why, now - p->sess.peer_clock_at_ms);
     }
-    t->live = false;
-    t->willing = false;
-    msg_free(t->batch);
-    t->batch = NULL;
-    sess_end(&t->sess);
-    while (t->given != NULL) {
-        void *handle = t->given->handle;
+    p->session_open = false;
+    p->accepting = false;
+    msg_free(p->batch);
+    p->batch = NULL;
+    sess_end(&p->sess);
+    while (p->forwarded != NULL) {
+        void *handle = p->forwarded->handle;
 
-        remove_given(t, t->given);
+        remove_forwarded(p, p->forwarded);
         r->ops->answer(r->ctx, handle, CO_GAVE_UP, "taker_lost", 0);
     }
 }
 
 static void
-free_taker(struct relay *r, struct rl_taker *t)
+free_peer(struct relay *r, struct rl_peer *p)
 {
-    while (t->given != NULL) {
-        remove_given(t, t->given);
+    while (p->forwarded != NULL) {
+        remove_forwarded(p, p->forwarded);
     }
-    msg_free(t->batch);
-    sess_end(&t->sess);
-    HASH_DEL(r->takers, t);
-    free(t);
+    msg_free(p->batch);
+    sess_end(&p->sess);
+    HASH_DEL(r->peers, p);
+    free(p);
 }
 
 void
-rl_entry_in(struct relay *r, uint64_t id)
+rl_add_entry(struct relay *r, uint64_t id)
 {
-    struct rl_taker *t = find_taker(r, id);
+    struct rl_peer *p = find_peer(r, id);
 
-    if (t != NULL || id == r->self) {
+    if (p != NULL || id == r->self) {
         return;
     }
-    t = dw_zero(1, sizeof(*t));
-    t->id = id;
-    sess_init(&t->sess);
-    HASH_ADD(hh, r->takers, id, sizeof(t->id), t);
+    p = dw_zero(1, sizeof(*p));
+    p->id = id;
+    sess_init(&p->sess);
+    HASH_ADD(hh, r->peers, id, sizeof(p->id), p);
 }
 
 void
-rl_entry_out(struct relay *r, uint64_t id)
+rl_remove_entry(struct relay *r, uint64_t id)
 {
-    struct rl_taker *t = find_taker(r, id);
+    struct rl_peer *p = find_peer(r, id);
 
-    /* The session shows better than the list who lives. */
-    if (t != NULL && !t->live) {
-        free_taker(r, t);
+    /* An open session is better evidence that the entry is alive than the
+     * list. */
+    if (p != NULL && !p->session_open) {
+        free_peer(r, p);
     }
 }
 
 void
-rl_need(struct relay *r, uint64_t now)
+rl_need_peers(struct relay *r, uint64_t now)
 {
-    r->needed_ms = now;
+    r->peers_needed_ms = now;
 }
 
 static dw_relay *
-batch_for(struct rl_taker *t)
+batch_for(struct rl_peer *p)
 {
-    if (t->batch == NULL) {
-        t->batch = dw_zero(1, sizeof(*t->batch));
-        t->batch->type = DW_RELAY;
+    if (p->batch == NULL) {
+        p->batch = dw_zero(1, sizeof(*p->batch));
+        p->batch->type = DW_RELAY;
     }
-    return &t->batch->dw_msg_u.relay;
+    return &p->batch->dw_msg_u.relay;
 }
 
 static uint32_t
-expected_busy(const struct rl_taker *t)
+expected_busy(const struct rl_peer *p)
 {
-    return t->busy_permille + (uint32_t)t->given_since * GIVEN_PERMILLE;
+    return p->busy_permille +
+           (uint32_t)p->forwarded_since_report * FORWARDED_PERMILLE;
 }
 
-/* The least busy; none that knows an older configuration. */
-static struct rl_taker *
-pick_taker(const struct relay *r, uint64_t now)
+/* The least busy peer that accepts requests and whose configuration is not
+ * older than this entry's. */
+static struct rl_peer *
+pick_peer(const struct relay *r, uint64_t now)
 {
-    struct rl_taker *best = NULL;
-    struct rl_taker *t;
+    struct rl_peer *best = NULL;
+    struct rl_peer *p;
 
-    for (t = r->takers; t != NULL; t = t->hh.next) {
-        if (t->live && t->willing && sess_live(&t->sess, now) &&
-            t->version >= r->state.version &&
-            (best == NULL || expected_busy(t) < expected_busy(best))) {
-            best = t;
+    for (p = r->peers; p != NULL; p = p->hh.next) {
+        if (p->session_open && p->accepting && sess_live(&p->sess, now) &&
+            p->config_version >= r->state.config_version &&
+            (best == NULL || expected_busy(p) < expected_busy(best))) {
+            best = p;
         }
     }
     return best;
 }
 
 bool
-rl_give(struct relay *r, uint64_t now, void *handle, struct str host,
-    struct str path, struct str body, uint32_t left_ms)
+rl_forward(struct relay *r, uint64_t now, void *handle, struct str host,
+    struct str path, struct str body, uint32_t remaining_ms)
 {
-    struct rl_taker *t = pick_taker(r, now);
-    struct rl_given *g;
+    struct rl_peer *p = pick_peer(r, now);
+    struct rl_forwarded *f;
     dw_relay *m;
     dw_request *q;
 
-    if (t == NULL) {
+    if (p == NULL) {
         return false;
     }
-    g = dw_zero(1, sizeof(*g));
-    g->ref = ++r->next_ref;
-    g->handle = handle;
-    g->path_hash = str_hash(path, PATH_SEED);
-    DL_APPEND(t->given, g);
-    t->given_since++;
-    m = batch_for(t);
+    f = dw_zero(1, sizeof(*f));
+    f->ref = ++r->next_ref;
+    f->handle = handle;
+    f->path_hash = str_hash(path, PATH_HASH_SEED);
+    DL_APPEND(p->forwarded, f);
+    p->forwarded_since_report++;
+    m = batch_for(p);
     m->requests.requests_val = dw_grow(
         m->requests.requests_val, (m->requests.requests_len + 1) * sizeof(*q));
     q = &m->requests.requests_val[m->requests.requests_len++];
-    q->ref = g->ref;
+    q->ref = f->ref;
     q->host = str_to_bytes(host);
     q->path = str_to_bytes(path);
     q->body = str_to_bytes(body);
-    q->left_ms = left_ms;
+    q->left_ms = remaining_ms;
     return true;
 }
 
 void *
 rl_find(const struct relay *r, struct str path)
 {
-    uint64_t hash = str_hash(path, PATH_SEED);
-    const struct rl_taker *t;
-    const struct rl_given *g;
+    uint64_t hash = str_hash(path, PATH_HASH_SEED);
+    const struct rl_peer *p;
+    const struct rl_forwarded *f;
 
-    for (t = r->takers; t != NULL; t = t->hh.next) {
-        DL_FOREACH (t->given, g) {
-            if (g->path_hash == hash) {
-                return g->handle;
+    for (p = r->peers; p != NULL; p = p->hh.next) {
+        DL_FOREACH (p->forwarded, f) {
+            if (f->path_hash == hash) {
+                return f->handle;
             }
         }
     }
@@ -206,9 +213,9 @@
 }
 
 static void
-tell_left(struct rl_taker *t, uint64_t ref)
+add_cancellation(struct rl_peer *p, uint64_t ref)
 {
-    dw_relay *m = batch_for(t);
+    dw_relay *m = batch_for(p);
 
     m->left.left_val = dw_grow(
         m->left.left_val, (m->left.left_len + 1) * sizeof(*m->left.left_val));
@@ -216,16 +223,16 @@
 }
 
 bool
-rl_drop(struct relay *r, const void *handle)
+rl_cancel(struct relay *r, const void *handle)
 {
-    struct rl_taker *t;
-    struct rl_given *g;
+    struct rl_peer *p;
+    struct rl_forwarded *f;
 
-    for (t = r->takers; t != NULL; t = t->hh.next) {
-        DL_FOREACH (t->given, g) {
-            if (g->handle == handle) {
-                tell_left(t, g->ref);
-                remove_given(t, g);
+    for (p = r->peers; p != NULL; p = p->hh.next) {
+        DL_FOREACH (p->forwarded, f) {
+            if (f->handle == handle) {
+                add_cancellation(p, f->ref);
+                remove_forwarded(p, f);
                 return true;
             }
         }
@@ -234,218 +241,222 @@
 }
 
 static void
-take_reply(struct relay *r, struct rl_taker *t, const dw_reply *reply)
+handle_reply(struct relay *r, struct rl_peer *p, const dw_reply *reply)
 {
-    struct rl_given *g;
+    struct rl_forwarded *f;
     char reason[REASON_MAX];
     void *handle;
 
-    DL_FOREACH (t->given, g) {
-        if (g->ref == reply->ref) {
+    DL_FOREACH (p->forwarded, f) {
+        if (f->ref == reply->ref) {
             break;
         }
     }
-    if (g == NULL) {
+    if (f == NULL) {
         return;
     }
-    handle = g->handle;
-    remove_given(t, g);
+    handle = f->handle;
+    remove_forwarded(p, f);
     str_copy(reason, sizeof(reason), str_bytes(&reply->reason));
     r->ops->answer(
         r->ctx, handle, outcome_of(reply->how), reason, reply->retry_ms);
 }
 
 void
-rl_replies(struct relay *r, uint64_t now, uint64_t from, const dw_relayed *m)
+rl_receive_replies(
+    struct relay *r, uint64_t now, uint64_t from, const dw_relayed *m)
 {
-    struct rl_taker *t = find_taker(r, from);
+    struct rl_peer *p = find_peer(r, from);
     enum sess_verdict v;
 
-    if (t == NULL) {
+    if (p == NULL) {
         return;
     }
-    v = sess_take(&t->sess, now, &m->head);
+    v = sess_receive(&p->sess, now, &m->head);
     if (v == SESS_DROP) {
         return;
     }
-    if (!t->live) {
-        t->live = true;
-        r->ops->note(r->ctx, t->id, "taker_live", 0);
+    if (!p->session_open) {
+        p->session_open = true;
+        r->ops->note(r->ctx, p->id, "taker_live", 0);
     }
-    t->willing = m->willing;
-    t->busy_permille = m->busy_permille;
-    t->version = m->config;
-    t->given_since = 0;
+    p->accepting = m->willing;
+    p->busy_permille = m->busy_permille;
+    p->config_version = m->config;
+    p->forwarded_since_report = 0;
     if (m->willing) {
-        t->useful_ms = now;
+        p->last_accepting_ms = now;
     }
-    for (u_int i = 0; v == SESS_TAKE && i < m->replies.replies_len; i++) {
-        take_reply(r, t, &m->replies.replies_val[i]);
+    for (u_int i = 0; v == SESS_DELIVER && i < m->replies.replies_len; i++) {
+        handle_reply(r, p, &m->replies.replies_val[i]);
     }
 }
 
 static void
-send_beat(struct relay *r, uint64_t now, struct rl_taker *t)
+send_heartbeat(struct relay *r, uint64_t now, struct rl_peer *p)
 {
     dw_msg m;
 
     memset(&m, 0, sizeof(m));
     m.type = DW_RELAY;
-    sess_stamp(&t->sess, now, &m);
-    r->ops->send(r->ctx, t->id, &m);
+    sess_fill_head(&p->sess, now, &m);
+    r->ops->send(r->ctx, p->id, &m);
 }
 
 static void
-tend_taker(struct relay *r, uint64_t now, struct rl_taker *t)
+tick_peer(struct relay *r, uint64_t now, struct rl_peer *p)
 {
-    if (t->live && !sess_live(&t->sess, now)) {
-        end_taker(r, now, t, "taker_silent");
+    if (p->session_open && !sess_live(&p->sess, now)) {
+        end_peer_session(r, now, p, "taker_silent");
     }
-    if (!t->chosen) {
+    if (!p->selected) {
         return;
     }
-    if (now - t->useful_ms > RL_USELESS_MS && t->given == NULL) {
-        t->chosen = false;
-        t->avoid_until_ms = now + RL_AVOID_MS;
-        end_taker(r, now, t, "taker_left_out");
+    if (now - p->last_accepting_ms > RL_REPLACE_MS && p->forwarded == NULL) {
+        p->selected = false;
+        p->retry_at_ms = now + RL_RETRY_MS;
+        end_peer_session(r, now, p, "taker_left_out");
         return;
     }
-    if (!t->live &&
-        (t->sess.number == 0 || now - t->opened_ms > SESS_LEASE_MS)) {
-        sess_begin(&t->sess, (now << 16) | (mix64(r->self, t->id) & 0xffff));
-        t->opened_ms = now;
+    if (!p->session_open &&
+        (p->sess.number == 0 || now - p->opened_ms > SESS_LEASE_MS)) {
+        sess_begin(&p->sess, (now << 16) | (mix64(r->self, p->id) & 0xffff));
+        p->opened_ms = now;
     }
-    if (now - t->sess.sent_ms >= RL_BEAT_MS) {
-        send_beat(r, now, t);
+    if (now - p->sess.last_sent_ms >= RL_HEARTBEAT_MS) {
+        send_heartbeat(r, now, p);
     }
-    sess_resend(&t->sess, now, t->id, r->ops->send, r->ctx);
+    sess_resend(&p->sess, now, p->id, r->ops->send, r->ctx);
 }
 
-/* Each entry asks others in an order of its own. */
-static struct rl_taker *
+/* The next entry to select as a peer; each entry tries the others in an order
+ * of its own. */
+static struct rl_peer *
 next_candidate(const struct relay *r, uint64_t now)
 {
-    struct rl_taker *best = NULL;
+    struct rl_peer *best = NULL;
     uint64_t least = 0;
-    struct rl_taker *t;
+    struct rl_peer *p;
 
-    for (t = r->takers; t != NULL; t = t->hh.next) {
-        uint64_t score = mix64(r->self, t->id);
+    for (p = r->peers; p != NULL; p = p->hh.next) {
+        uint64_t hash = mix64(r->self, p->id);
 
-        if (!t->chosen && now >= t->avoid_until_ms &&
-            (best == NULL || score < least)) {
-            best = t;
-            least = score;
+        if (!p->selected && now >= p->retry_at_ms &&
+            (best == NULL || hash < least)) {
+            best = p;
+            least = hash;
         }
     }
     return best;
 }
 
 static void
-choose_takers(struct relay *r, uint64_t now)
+select_peers(struct relay *r, uint64_t now)
 {
-    bool needed = r->needed_ms != 0 && now - r->needed_ms < RL_KEEP_MS;
-    struct rl_taker *t;
-    uint32_t chosen = 0;
+    bool needed =
+        r->peers_needed_ms != 0 && now - r->peers_needed_ms < RL_IDLE_CLOSE_MS;
+    struct rl_peer *p;
+    uint32_t selected = 0;
 
-    for (t = r->takers; t != NULL; t = t->hh.next) {
-        if (t->chosen && !needed && t->given == NULL) {
-            t->chosen = false;
-            end_taker(r, now, t, "taker_not_needed");
+    for (p = r->peers; p != NULL; p = p->hh.next) {
+        if (p->selected && !needed && p->forwarded == NULL) {
+            p->selected = false;
+            end_peer_session(r, now, p, "taker_not_needed");
         }
-        chosen += t->chosen;
+        selected += p->selected;
     }
-    while (needed && chosen < RL_TAKERS) {
-        t = next_candidate(r, now);
-        if (t == NULL) {
+    while (needed && selected < RL_PEERS_MAX) {
+        p = next_candidate(r, now);
+        if (p == NULL) {
             break;
         }
-        t->chosen = true;
-        t->useful_ms = now;
-        chosen++;
+        p->selected = true;
+        p->last_accepting_ms = now;
+        selected++;
     }
 }
 
-/* --- the taker's side --- */
+/* --- peer side --- */
 
 static void
-free_taken(struct rl_taken *t)
+free_accepted(struct rl_accepted *a)
 {
-    DL_DELETE(t->giver->taken, t);
-    free(t->host);
-    free(t->path);
-    buf_free(&t->body);
-    free(t);
+    DL_DELETE(a->origin->accepted, a);
+    free(a->host);
+    free(a->path);
+    buf_free(&a->body);
+    free(a);
 }
 
 static void
-end_giver(struct relay *r, uint64_t now, struct rl_giver *g, const char *why)
+end_origin_session(
+    struct relay *r, uint64_t now, struct rl_origin *o, const char *why)
 {
-    if (g->open) {
-        r->ops->note(r->ctx, g->id, why, now - g->sess.fresh_ms);
+    if (o->session_open) {
+        r->ops->note(r->ctx, o->id, why, now - o->sess.own_clock_echo_ms);
     }
-    g->open = false;
-    g->ended_ms = now;
-    msg_free(g->batch);
-    g->batch = NULL;
-    sess_end(&g->sess);
-    while (g->taken != NULL) {
-        r->ops->leave(r->ctx, g->taken);
-        free_taken(g->taken);
+    o->session_open = false;
+    o->ended_ms = now;
+    msg_free(o->batch);
+    o->batch = NULL;
+    sess_end(&o->sess);
+    while (o->accepted != NULL) {
+        r->ops->cancel(r->ctx, o->accepted);
+        free_accepted(o->accepted);
     }
 }
 
 static void
-free_giver(struct relay *r, struct rl_giver *g)
+free_origin(struct relay *r, struct rl_origin *o)
 {
-    while (g->taken != NULL) {
-        free_taken(g->taken);
+    while (o->accepted != NULL) {
+        free_accepted(o->accepted);
     }
-    msg_free(g->batch);
-    sess_end(&g->sess);
-    HASH_DEL(r->givers, g);
-    free(g);
+    msg_free(o->batch);
+    sess_end(&o->sess);
+    HASH_DEL(r->origins, o);
+    free(o);
 }
 
-static struct rl_giver *
-find_giver(struct relay *r, uint64_t id, bool add)
+static struct rl_origin *
+find_origin(struct relay *r, uint64_t id, bool add)
 {
-    struct rl_giver *g;
+    struct rl_origin *o;
 
-    HASH_FIND(hh, r->givers, &id, sizeof(id), g);
-    if (g == NULL && add) {
-        g = dw_zero(1, sizeof(*g));
-        g->id = id;
-        sess_init(&g->sess);
-        HASH_ADD(hh, r->givers, id, sizeof(g->id), g);
+    HASH_FIND(hh, r->origins, &id, sizeof(id), o);
+    if (o == NULL && add) {
+        o = dw_zero(1, sizeof(*o));
+        o->id = id;
+        sess_init(&o->sess);
+        HASH_ADD(hh, r->origins, id, sizeof(o->id), o);
     }
-    return g;
+    return o;
 }
 
 static void
-take_request(struct relay *r, struct rl_giver *g, const dw_request *q)
+accept_request(struct relay *r, struct rl_origin *o, const dw_request *q)
 {
-    struct rl_taken *t = dw_zero(1, sizeof(*t));
+    struct rl_accepted *a = dw_zero(1, sizeof(*a));
 
-    t->ref = q->ref;
-    t->giver = g;
-    t->host = str_dup(str_bytes(&q->host));
-    t->path = str_dup(str_bytes(&q->path));
-    buf_add(&t->body, str_bytes(&q->body));
-    t->left_ms = q->left_ms;
-    DL_APPEND(g->taken, t);
-    r->ops->begin(r->ctx, t);
+    a->ref = q->ref;
+    a->origin = o;
+    a->host = str_dup(str_bytes(&q->host));
+    a->path = str_dup(str_bytes(&q->path));
+    buf_add(&a->body, str_bytes(&q->body));
+    a->remaining_ms = q->left_ms;
+    DL_APPEND(o->accepted, a);
+    r->ops->start(r->ctx, a);
 }
 
 static void
-caller_left(struct relay *r, struct rl_giver *g, uint64_t ref)
+cancel_request(struct relay *r, struct rl_origin *o, uint64_t ref)
 {
-    struct rl_taken *t;
+    struct rl_accepted *a;
 
-    DL_FOREACH (g->taken, t) {
-        if (t->ref == ref) {
-            r->ops->leave(r->ctx, t);
-            free_taken(t);
+    DL_FOREACH (o->accepted, a) {
+        if (a->ref == ref) {
+            r->ops->cancel(r->ctx, a);
+            free_accepted(a);
             return;
         }
     }
@@ -454,107 +465,110 @@
 static void
 fill_state(const struct relay *r, dw_relayed *m)
 {
-    m->willing = r->state.willing;
+    m->willing = r->state.accepting;
     m->busy_permille = r->state.busy_permille;
-    m->config = r->state.version;
+    m->config = r->state.config_version;
 }
 
 static void
-send_state(struct relay *r, uint64_t now, struct rl_giver *g)
+send_state(struct relay *r, uint64_t now, struct rl_origin *o)
 {
     dw_msg m;
 
     memset(&m, 0, sizeof(m));
     m.type = DW_RELAYED;
     fill_state(r, &m.dw_msg_u.relayed);
-    sess_stamp(&g->sess, now, &m);
-    r->ops->send(r->ctx, g->id, &m);
+    sess_fill_head(&o->sess, now, &m);
+    r->ops->send(r->ctx, o->id, &m);
 }
 
 static void
-begin_session(
-    struct relay *r, uint64_t now, struct rl_giver *g, const dw_head *head)
+start_session(
+    struct relay *r, uint64_t now, struct rl_origin *o, const dw_head *head)
 {
-    if (g->sess.number != 0) {
-        end_giver(r, now, g, "giver_anew");
+    if (o->sess.number != 0) {
+        end_origin_session(r, now, o, "giver_anew");
     }
-    sess_begin(&g->sess, head->session);
-    g->newest = head->session;
-    g->begun_ms = now;
-    g->open = true;
+    sess_begin(&o->sess, head->session);
+    o->newest_session = head->session;
+    o->started_ms = now;
+    o->session_open = true;
 }
 
 void
-rl_take(struct relay *r, uint64_t now, uint64_t from, const dw_relay *m)
+rl_receive_requests(
+    struct relay *r, uint64_t now, uint64_t from, const dw_relay *m)
 {
-    struct rl_giver *g = find_giver(r, from, true);
+    struct rl_origin *o = find_origin(r, from, true);
     enum sess_verdict v;
 
-    if (m->head.session > g->newest) {
-        begin_session(r, now, g, &m->head);
+    if (m->head.session > o->newest_session) {
+        start_session(r, now, o, &m->head);
     }
-    v = sess_take(&g->sess, now, &m->head);
-    if (v == SESS_TAKE) {
+    v = sess_receive(&o->sess, now, &m->head);
+    if (v == SESS_DELIVER) {
         for (u_int i = 0; i < m->requests.requests_len; i++) {
-            take_request(r, g, &m->requests.requests_val[i]);
+            accept_request(r, o, &m->requests.requests_val[i]);
         }
         for (u_int i = 0; i < m->left.left_len; i++) {
-            caller_left(r, g, m->left.left_val[i]);
+            cancel_request(r, o, m->left.left_val[i]);
         }
     }
-    /* Whoever reads late needs a fresh clock to echo. */
-    if (v != SESS_DROP || (g->open && g->sess.fresh_ms == 0)) {
-        send_state(r, now, g);
+    /* An origin that reads late needs a recent clock to echo. */
+    if (v != SESS_DROP ||
+        (o->session_open && o->sess.own_clock_echo_ms == 0)) {
+        send_state(r, now, o);
     }
 }
 
 void
-rl_reply(struct rl_taken *t, enum co_outcome how, const char *reason,
+rl_reply(struct rl_accepted *a, enum co_outcome outcome, const char *reason,
     uint32_t retry_ms)
 {
-    struct rl_giver *g = t->giver;
+    struct rl_origin *o = a->origin;
     dw_relayed *m;
     dw_reply *reply;
 
-    if (g->batch == NULL) {
-        g->batch = dw_zero(1, sizeof(*g->batch));
-        g->batch->type = DW_RELAYED;
+    if (o->batch == NULL) {
+        o->batch = dw_zero(1, sizeof(*o->batch));
+        o->batch->type = DW_RELAYED;
     }
-    m = &g->batch->dw_msg_u.relayed;
+    m = &o->batch->dw_msg_u.relayed;
     m->replies.replies_val = dw_grow(
         m->replies.replies_val, (m->replies.replies_len + 1) * sizeof(*reply));
     reply = &m->replies.replies_val[m->replies.replies_len++];
-    reply->ref = t->ref;
-    reply->how = hows[how];
+    reply->ref = a->ref;
+    reply->how = outcome_codes[outcome];
     reply->retry_ms = retry_ms;
     reply->reason = str_to_bytes(str_of(reason));
-    free_taken(t);
+    free_accepted(a);
 }
 
-/* When the giver was certainly alive last. */
+/* The last time at which the origin was certainly alive. */
 static uint64_t
-heard(const struct rl_giver *g)
+last_alive_ms(const struct rl_origin *o)
 {
-    return g->sess.fresh_ms != 0 ? g->sess.fresh_ms : g->begun_ms;
+    return o->sess.own_clock_echo_ms != 0 ? o->sess.own_clock_echo_ms
+                                          : o->started_ms;
 }
 
 static void
-tend_giver(struct relay *r, uint64_t now, struct rl_giver *g)
+tick_origin(struct relay *r, uint64_t now, struct rl_origin *o)
 {
-    if (!g->open) {
+    if (!o->session_open) {
         return;
     }
-    if (now - heard(g) >= SESS_LEASE_MS) {
-        end_giver(r, now, g, "giver_silent");
+    if (now - last_alive_ms(o) >= SESS_LEASE_MS) {
+        end_origin_session(r, now, o, "giver_silent");
         return;
     }
-    sess_resend(&g->sess, now, g->id, r->ops->send, r->ctx);
-    if (sess_beat_due(&g->sess, now)) {
-        send_state(r, now, g);
+    sess_resend(&o->sess, now, o->id, r->ops->send, r->ctx);
+    if (sess_heartbeat_due(&o->sess, now)) {
+        send_state(r, now, o);
     }
 }
 
-/* --- both --- */
+/* --- both sides --- */
 
 void
 rl_init(struct relay *r, const struct rl_ops *ops, void *ctx, uint64_t self)
@@ -568,88 +582,88 @@
 void
 rl_free(struct relay *r)
 {
-    struct rl_taker *t;
-    struct rl_taker *t_tmp;
-    struct rl_giver *g;
-    struct rl_giver *g_tmp;
+    struct rl_peer *p;
+    struct rl_peer *p_tmp;
+    struct rl_origin *o;
+    struct rl_origin *o_tmp;
 
-    HASH_ITER (hh, r->takers, t, t_tmp) {
-        free_taker(r, t);
+    HASH_ITER (hh, r->peers, p, p_tmp) {
+        free_peer(r, p);
     }
-    HASH_ITER (hh, r->givers, g, g_tmp) {
-        free_giver(r, g);
+    HASH_ITER (hh, r->origins, o, o_tmp) {
+        free_origin(r, o);
     }
 }
 
 void
-rl_tell(struct relay *r, const struct rl_state *state)
+rl_set_state(struct relay *r, const struct rl_state *state)
 {
     r->state = *state;
 }
 
 void
-rl_refused(struct relay *r, uint64_t now, uint64_t id)
+rl_process_dead(struct relay *r, uint64_t now, uint64_t id)
 {
-    struct rl_taker *t = find_taker(r, id);
-    struct rl_giver *g = find_giver(r, id, false);
+    struct rl_peer *p = find_peer(r, id);
+    struct rl_origin *o = find_origin(r, id, false);
 
-    if (t != NULL) {
-        end_taker(r, now, t, "taker_dead");
+    if (p != NULL) {
+        end_peer_session(r, now, p, "taker_dead");
     }
-    if (g != NULL && g->open) {
-        end_giver(r, now, g, "giver_dead");
+    if (o != NULL && o->session_open) {
+        end_origin_session(r, now, o, "giver_dead");
     }
 }
 
 void
 rl_tick(struct relay *r, uint64_t now)
 {
-    struct rl_taker *t;
-    struct rl_giver *g;
-    struct rl_giver *tmp;
+    struct rl_peer *p;
+    struct rl_origin *o;
+    struct rl_origin *tmp;
 
-    HASH_ITER (hh, r->givers, g, tmp) {
-        tend_giver(r, now, g);
-        if (!g->open && now - g->ended_ms > FORGET_MS) {
-            free_giver(r, g);
+    HASH_ITER (hh, r->origins, o, tmp) {
+        tick_origin(r, now, o);
+        if (!o->session_open && now - o->ended_ms > FORGET_MS) {
+            free_origin(r, o);
         }
     }
-    choose_takers(r, now);
-    for (t = r->takers; t != NULL; t = t->hh.next) {
-        tend_taker(r, now, t);
+    select_peers(r, now);
+    for (p = r->peers; p != NULL; p = p->hh.next) {
+        tick_peer(r, now, p);
     }
 }
 
 void
 rl_flush(struct relay *r, uint64_t now)
 {
-    struct rl_taker *t;
-    struct rl_giver *g;
+    struct rl_peer *p;
+    struct rl_origin *o;
 
-    for (t = r->takers; t != NULL; t = t->hh.next) {
-        if (t->batch != NULL) {
-            sess_keep(&t->sess, now, t->batch);
-            r->ops->send(r->ctx, t->id, t->batch);
-            t->batch = NULL;
+    for (p = r->peers; p != NULL; p = p->hh.next) {
+        if (p->batch != NULL) {
+            sess_enqueue(&p->sess, now, p->batch);
+            r->ops->send(r->ctx, p->id, p->batch);
+            p->batch = NULL;
         }
     }
-    for (g = r->givers; g != NULL; g = g->hh.next) {
-        if (g->batch != NULL) {
-            fill_state(r, &g->batch->dw_msg_u.relayed);
-            sess_keep(&g->sess, now, g->batch);
-            r->ops->send(r->ctx, g->id, g->batch);
-            g->batch = NULL;
+    for (o = r->origins; o != NULL; o = o->hh.next) {
+        if (o->batch != NULL) {
+            fill_state(r, &o->batch->dw_msg_u.relayed);
+            sess_enqueue(&o->sess, now, o->batch);
+            r->ops->send(r->ctx, o->id, o->batch);
+            o->batch = NULL;
         }
     }
 }
 
 bool
-rl_done(const struct relay *r)
+rl_replies_delivered(const struct relay *r)
 {
-    const struct rl_giver *g;
+    const struct rl_origin *o;
 
-    for (g = r->givers; g != NULL; g = g->hh.next) {
-        if (g->open && (g->batch != NULL || g->sess.head != NULL)) {
+    for (o = r->origins; o != NULL; o = o->hh.next) {
+        if (o->session_open && (o->batch != NULL || o->sess.head != NULL)) {
             return false;
         }
     }
--- a/relay.h
+++ b/relay.h
@@ -1,17 +1,18 @@
 /*
- * relay - requests that another entry begins in place of this one
+ * relay - forwards requests that another entry starts instead of this one
  *
- * Reading a request and passing it on costs an entry a fourth of what
- * coordinating its job does.  So one that is behind gives requests that it has
- * not begun to entries that have time, and passes their answers back.  A
- * request has one place at any time: once it was sent, only the taker may
- * begin it, and nobody but the taker can say that it has not run.
+ * Reading a request and forwarding it costs an entry a fourth of what
+ * coordinating its job costs.  So an overloaded entry (the origin) forwards
+ * requests that it has not started to peer entries with spare processor time,
+ * and returns their answers to the callers.  A request has one owner at any
+ * time: once it has been sent, only the peer may start it, and only the peer
+ * can report that it has not run.
  *
- * Giver and taker keep a session (sess.h).  A taker that does not hear its
- * giver within the lease ends the giver's jobs, as their callers may have lost
- * their connections and send again; a giver that does not hear its taker
- * answers that the job was given up.  The lease, and what an entry's runs
- * live on after it, are shorter than callers wait before they send again.
+ * Origin and peer keep a session (sess.h).  A peer whose lease of the origin
+ * expires ends the origin's jobs, as their callers may have lost their
+ * connections and send again; an origin whose lease of the peer expires
+ * answers that the job was given up.  The lease plus the time that an entry's
+ * runs live on after it is shorter than callers wait before they send again.
  */
 #ifndef RELAY_H
 #define RELAY_H
@@ -30,126 +31,135 @@
 extern "C" {
 #endif
 
-/* Takers that a giver keeps sessions with. */
-#define RL_TAKERS 4U
-/* ms without need after which a giver closes its sessions. */
-#define RL_KEEP_MS 3000U
-/* ms between a giver's messages: it may read late, and the taker must hear of
- * it within the lease. */
-#define RL_BEAT_MS 50U
-/* ms that a taker may be unwilling or silent before another is tried, and
- * after which it may be tried again. */
-#define RL_USELESS_MS 1000U
-#define RL_AVOID_MS 5000U
+/* Peers that an origin keeps sessions with. */
+#define RL_PEERS_MAX 4U
+/* ms after the last need for peers until an origin closes its sessions. */
+#define RL_IDLE_CLOSE_MS 3000U
+/* ms between an origin's messages: it may read late, and the peer must get a
+ * fresh echo within the lease. */
+#define RL_HEARTBEAT_MS 50U
+/* ms for which a peer may be silent or not accept requests until it is
+ * replaced, and ms after which it may be selected again. */
+#define RL_REPLACE_MS 1000U
+#define RL_RETRY_MS 5000U
 
-struct rl_given;
+struct rl_forwarded;
 
-/* Another entry, to which requests may be given. */
-struct rl_taker {
+/* Another entry, to which requests may be forwarded. */
+struct rl_peer {
     uint64_t id;
     struct sess sess;
-    bool chosen;
-    bool live;
-    bool willing;
-    uint32_t busy_permille;
-    uint64_t version; /* of its configuration */
-    uint64_t opened_ms;
-    uint64_t useful_ms; /* when it was chosen, or willing last */
-    uint64_t avoid_until_ms;
-    uint64_t given_since; /* requests since it told how busy it is */
-    struct rl_given *given;
-    dw_msg *batch;
+    bool selected; /* this entry keeps a session with it */
+    bool session_open;
+    bool accepting;             /* it accepts requests, as last reported */
+    uint32_t busy_permille;     /* its processor use, as last reported */
+    uint64_t config_version;    /* in force there, as last reported */
+    uint64_t opened_ms;         /* when the session's number was assigned */
+    uint64_t last_accepting_ms; /* when selected, or last accepting */
+    uint64_t retry_at_ms;       /* not selected again before */
+    uint64_t forwarded_since_report; /* requests since its last report */
+    struct rl_forwarded *forwarded;  /* requests not answered yet */
+    dw_msg *batch;                   /* collected since the last flush */
     UT_hash_handle hh;
 };
 
-/* A request that another entry gave. */
-struct rl_taken {
-    uint64_t ref;
-    struct rl_giver *giver;
+/* A request that was accepted from its origin entry. */
+struct rl_accepted {
+    uint64_t ref; /* assigned by the origin */
+    struct rl_origin *origin;
     char *host;
     char *path;
     struct buf body;
-    uint32_t left_ms;
-    void *data; /* the holder's own */
-    struct rl_taken *prev;
-    struct rl_taken *next;
+    uint32_t remaining_ms; /* when received, until its caller stops waiting */
+    void *data;            /* free for the user of this module */
+    struct rl_accepted *prev;
+    struct rl_accepted *next;
 };
 
-/* Another entry, which gives requests. */
-struct rl_giver {
+/* Another entry, which forwards requests to this one. */
+struct rl_origin {
     uint64_t id;
     struct sess sess;
-    uint64_t newest; /* session number; an ended one is not begun again */
-    bool open;
-    uint64_t begun_ms;
+    uint64_t newest_session; /* number; sessions that have ended are not
+                              * accepted again */
+    bool session_open;
+    uint64_t started_ms; /* of the session */
     uint64_t ended_ms;
-    struct rl_taken *taken;
-    dw_msg *batch;
+    struct rl_accepted *accepted; /* requests not answered yet */
+    dw_msg *batch;                /* replies collected since the last flush */
     UT_hash_handle hh;
 };
 
 struct rl_ops {
     void (*send)(void *ctx, uint64_t to, const dw_msg *m);
-    /* Begin it; it ends with rl_reply() or leave(). */
-    void (*begin)(void *ctx, struct rl_taken *t);
-    /* Nobody waits for it any more; it must not be used after. */
-    void (*leave)(void *ctx, struct rl_taken *t);
-    /* The answer to a request that was given away. */
-    void (*answer)(void *ctx, void *handle, enum co_outcome how,
+    /* Starts an accepted request; it ends with rl_reply() or cancel(). */
+    void (*start)(void *ctx, struct rl_accepted *a);
+    /* Nobody waits for it any more; it must not be used afterwards. */
+    void (*cancel)(void *ctx, struct rl_accepted *a);
+    /* The answer to a request that was forwarded. */
+    void (*answer)(void *ctx, void *handle, enum co_outcome outcome,
         const char *reason, uint32_t retry_ms);
-    void (*note)(void *ctx, uint64_t entry, const char *what, uint64_t ms);
+    /* An event for the log; ms since the entry was last heard, 0 for a session
+     * that opens. */
+    void (*note)(void *ctx, uint64_t entry, const char *event, uint64_t ms);
 };
 
-/* What this entry tells its givers. */
+/* What this entry reports to its origins. */
 struct rl_state {
-    bool willing;
+    bool accepting;
     uint32_t busy_permille;
-    uint64_t version;
+    uint64_t config_version;
 };
 
 struct relay {
     const struct rl_ops *ops;
     void *ctx;
-    uint64_t self;
+    uint64_t self; /* id of this entry */
     uint64_t next_ref;
-    uint64_t needed_ms; /* when takers were needed last; 0: never */
+    uint64_t peers_needed_ms; /* last call of rl_need_peers(); 0: never */
     struct rl_state state;
-    struct rl_taker *takers;
-    struct rl_giver *givers;
+    struct rl_peer *peers;
+    struct rl_origin *origins;
 };
 
 void rl_init(
     struct relay *r, const struct rl_ops *ops, void *ctx, uint64_t self);
 void rl_free(struct relay *r);
-/* An entry is there, or gone from the list of entries. */
-void rl_entry_in(struct relay *r, uint64_t id);
-void rl_entry_out(struct relay *r, uint64_t id);
-/* Takers are, or may soon be, needed. */
-void rl_need(struct relay *r, uint64_t now);
-/* What is told to givers from now on. */
-void rl_tell(struct relay *r, const struct rl_state *state);
-/* Give a request away; false if nobody takes it. */
-bool rl_give(struct relay *r, uint64_t now, void *handle, struct str host,
-    struct str path, struct str body, uint32_t left_ms);
-/* The handle of a request for this path that was given away, or NULL. */
+/* An entry was added to, or removed from, the list of entries. */
+void rl_add_entry(struct relay *r, uint64_t id);
+void rl_remove_entry(struct relay *r, uint64_t id);
+/* Peers are needed, or may be soon. */
+void rl_need_peers(struct relay *r, uint64_t now);
+/* Sets the state that is reported to origins from now on. */
+void rl_set_state(struct relay *r, const struct rl_state *state);
+/* Forwards a request, which is sent at the next rl_flush(); false if no peer
+ * accepts it. */
+bool rl_forward(struct relay *r, uint64_t now, void *handle, struct str host,
+    struct str path, struct str body, uint32_t remaining_ms);
+/* The handle of a forwarded request for this path, or NULL. */
 void *rl_find(const struct relay *r, struct str path);
-/* Its caller has left; false if it was not given away. */
-bool rl_drop(struct relay *r, const void *handle);
-/* The answer to a request that was taken; t must not be used after. */
-void rl_reply(struct rl_taken *t, enum co_outcome how, const char *reason,
-    uint32_t retry_ms);
-void rl_take(struct relay *r, uint64_t now, uint64_t from, const dw_relay *m);
-void rl_replies(
+/* Cancels a forwarded request, as its caller has disconnected; false if it was
+ * not forwarded. */
+bool rl_cancel(struct relay *r, const void *handle);
+/* Answers an accepted request; a must not be used afterwards. */
+void rl_reply(struct rl_accepted *a, enum co_outcome outcome,
+    const char *reason, uint32_t retry_ms);
+/* Handles a message from an origin. */
+void rl_receive_requests(
+    struct relay *r, uint64_t now, uint64_t from, const dw_relay *m);
+/* Handles a message from a peer. */
+void rl_receive_replies(
     struct relay *r, uint64_t now, uint64_t from, const dw_relayed *m);
-/* The process is dead, as its port refuses. */
-void rl_refused(struct relay *r, uint64_t now, uint64_t id);
+/* The process is known to be dead, as its port refuses connections. */
+void rl_process_dead(struct relay *r, uint64_t now, uint64_t id);
+/* Expires sessions, selects peers, sends heartbeats and resends messages. */
 void rl_tick(struct relay *r, uint64_t now);
-/* Send what was collected. */
+/* Sends the collected requests and replies. */
 void rl_flush(struct relay *r, uint64_t now);
 
 /* Queries. */
-/* Every giver has been told of every end. */
-bool rl_done(const struct relay *r);
+/* Every origin has acknowledged all replies. */
+bool rl_replies_delivered(const struct relay *r);
 
 #ifdef __cplusplus
 }
--- a/route.c
+++ b/route.c
@@ -29,20 +29,20 @@
 }
 
 bool
-rt_adopt(struct rt_table *t, struct rt_table *fresh)
+rt_replace(struct rt_table *t, struct rt_table *newer)
 {
-    if (fresh->version <= t->version) {
-        rt_free(fresh);
+    if (newer->version <= t->version) {
+        rt_free(newer);
         return false;
     }
     rt_free(t);
-    *t = *fresh;
-    memset(fresh, 0, sizeof(*fresh));
+    *t = *newer;
+    memset(newer, 0, sizeof(*newer));
     return true;
 }
 
 static bool
-host_is(const struct rt_route *r, struct str host)
+host_matches(const struct rt_route *r, struct str host)
 {
     const char *colon = memchr(host.p, ':', host.n);
     size_t n = colon != NULL ? (size_t)(colon - host.p) : host.n;
@@ -58,10 +58,10 @@
     for (size_t i = 0; i < t->count; i++) {
         const struct rt_route *r = &t->routes[i];
 
-        if (r->prefix_n <= path.n &&
-            memcmp(r->prefix, path.p, r->prefix_n) == 0 &&
-            (best == NULL || r->prefix_n > best->prefix_n) &&
-            host_is(r, host)) {
+        if (r->prefix_len <= path.n &&
+            memcmp(r->prefix, path.p, r->prefix_len) == 0 &&
+            (best == NULL || r->prefix_len > best->prefix_len) &&
+            host_matches(r, host)) {
             best = r;
         }
     }
--- a/sess.c
+++ b/sess.c
@@ -26,7 +26,7 @@
 }
 
 static void
-drop_first(struct sess *s)
+drop_oldest(struct sess *s)
 {
     struct sess_item *it = s->head;
 
@@ -49,7 +49,7 @@
 sess_end(struct sess *s)
 {
     while (s->head != NULL) {
-        drop_first(s);
+        drop_oldest(s);
     }
     sess_init(s);
 }
@@ -62,20 +62,20 @@
 }
 
 void
-sess_stamp(struct sess *s, uint64_t now, dw_msg *msg)
+sess_fill_head(struct sess *s, uint64_t now, dw_msg *msg)
 {
     dw_head *h = head_of(msg);
 
     h->session = s->number;
     h->clock_ms = now;
-    h->echo_ms = s->their_clock;
-    h->ack = s->in_seq;
-    s->echoed_ms = s->heard_ms;
-    s->sent_ms = now;
+    h->echo_ms = s->peer_clock_ms;
+    h->ack = s->recv_seq;
+    s->echoed_at_ms = s->peer_clock_at_ms;
+    s->last_sent_ms = now;
 }
 
 void
-sess_keep(struct sess *s, uint64_t now, dw_msg *msg)
+sess_enqueue(struct sess *s, uint64_t now, dw_msg *msg)
 {
     struct sess_item *it = dw_zero(1, sizeof(*it));
 
@@ -83,8 +83,8 @@
     it->sent_ms = now;
     *s->tail = it;
     s->tail = &it->next;
-    sess_stamp(s, now, msg);
-    head_of(msg)->seq = ++s->out_seq;
+    sess_fill_head(s, now, msg);
+    head_of(msg)->seq = ++s->send_seq;
 }
 
 static struct sess_item *
@@ -101,15 +101,15 @@
 }
 
 dw_msg *
-sess_again(struct sess *s, uint64_t now, const dw_msg *msg)
+sess_next_resend(struct sess *s, uint64_t now, const dw_msg *msg)
 {
     struct sess_item *it = item_after(s, msg);
 
     if (it == NULL || (msg == NULL && now - it->sent_ms < SESS_RESEND_MS)) {
         return NULL;
     }
-    /* Clocks and acknowledgement are those of the new sending. */
-    sess_stamp(s, now, it->msg);
+    /* Clocks and acknowledgement are brought up to date. */
+    sess_fill_head(s, now, it->msg);
     it->sent_ms = now;
     return it->msg;
 }
@@ -120,58 +120,60 @@
 {
     dw_msg *m;
 
-    for (m = sess_again(s, now, NULL); m != NULL; m = sess_again(s, now, m)) {
+    for (m = sess_next_resend(s, now, NULL); m != NULL;
+         m = sess_next_resend(s, now, m)) {
         send(ctx, to, m);
     }
 }
 
 enum sess_verdict
-sess_take(struct sess *s, uint64_t now, const dw_head *head)
+sess_receive(struct sess *s, uint64_t now, const dw_head *head)
 {
     if (head->session != s->number || s->number == 0) {
         return SESS_DROP;
     }
-    if (head->clock_ms > s->their_clock) {
-        s->their_clock = head->clock_ms;
-        s->heard_ms = now;
+    if (head->clock_ms > s->peer_clock_ms) {
+        s->peer_clock_ms = head->clock_ms;
+        s->peer_clock_at_ms = now;
     }
     /*
-     * A process that was frozen finds old messages waiting.  Their echo is
-     * its own clock of before the freeze: acting on them would start what
-     * the sender has long counted as lost and started elsewhere.
+     * A process that was suspended finds old messages in its buffer.  They
+     * echo its clock from before the suspension: acting on them would start
+     * runs that the sender has counted as lost and started elsewhere.
      */
     if (head->echo_ms + SESS_LEASE_MS <= now) {
         return SESS_DROP;
     }
-    s->fresh_ms = num_max(s->fresh_ms, head->echo_ms);
-    while (s->head != NULL && s->acked < head->ack) {
-        s->acked++;
-        drop_first(s);
+    s->own_clock_echo_ms = num_max(s->own_clock_echo_ms, head->echo_ms);
+    while (s->head != NULL && s->acked_seq < head->ack) {
+        s->acked_seq++;
+        drop_oldest(s);
     }
     if (head->seq == 0) {
-        return SESS_BEAT;
+        return SESS_NO_DATA;
     }
-    if (head->seq != s->in_seq + 1) {
-        return SESS_BEAT;
+    if (head->seq != s->recv_seq + 1) {
+        return SESS_NO_DATA;
     }
-    s->in_seq++;
-    return SESS_TAKE;
+    s->recv_seq++;
+    return SESS_DELIVER;
 }
 
 bool
 sess_live(const struct sess *s, uint64_t now)
 {
-    return s->fresh_ms != 0 && s->fresh_ms + SESS_LEASE_MS > now;
+    return s->own_clock_echo_ms != 0 &&
+           s->own_clock_echo_ms + SESS_LEASE_MS > now;
 }
 
 bool
-sess_beat_due(const struct sess *s, uint64_t now)
+sess_heartbeat_due(const struct sess *s, uint64_t now)
 {
-    return s->number != 0 && now - s->sent_ms >= SESS_BEAT_MS;
+    return s->number != 0 && now - s->last_sent_ms >= SESS_HEARTBEAT_MS;
 }
 
 uint64_t
-sess_over_at(const struct sess *s)
+sess_peer_expiry_ms(const struct sess *s)
 {
-    return s->echoed_ms + SESS_LEASE_MS;
+    return s->echoed_at_ms + SESS_LEASE_MS;
 }
--- a/sess.h
+++ b/sess.h
@@ -1,14 +1,16 @@
 /*
- * sess - a session between two processes: liveness, order, no losses
+ * sess - a session between two processes: liveness and reliable, ordered
+ * delivery
  *
- * A session carries messages over the link, which may lose them, in order and
- * once each.  Each message echoes the receiver's clock, so both sides know
- * without comparing clocks how recently the other was alive.  A session that
- * heard nothing fresh for SESS_LEASE_MS is over for good: the entry's runs at
- * the agent are stopped, and the entry counts them as lost once the agent
- * cannot act on them any more (sess_over_at()).
+ * A session carries messages over the link, which may lose them, and delivers
+ * each once and in order.  Each message echoes the receiver's clock, so both
+ * sides know how recently the other was alive without comparing clocks.  A
+ * session that received no fresh echo for SESS_LEASE_MS is over for good: the
+ * agent stops the entry's runs, and the entry counts them as lost once the
+ * agent can no longer act on its messages (sess_peer_expiry_ms()).
  *
- * Source: Gray and Cheriton: Leases, SOSP 1989 (without common clocks).
+ * Source: Gray and Cheriton: Leases, SOSP 1989 (here without synchronised
+ * clocks).
  */
 #ifndef SESS_H
 #define SESS_H
@@ -22,58 +24,66 @@
 extern "C" {
 #endif
 
-/* ms; survives two lost heartbeats and a processor quota's pause. */
+/* ms; survives two lost heartbeats and the pause of a processor quota. */
 #define SESS_LEASE_MS 350U
-/* ms between messages when there is nothing to say. */
-#define SESS_BEAT_MS 100U
-/* ms without an acknowledgement until messages are sent again: an
- * acknowledgement travels with the next heartbeat at the latest. */
+/* ms between messages on an idle session. */
+#define SESS_HEARTBEAT_MS 100U
+/* ms without an acknowledgement after which messages are sent again; an
+ * acknowledgement comes with the next heartbeat at the latest. */
 #define SESS_RESEND_MS 150U
 
 enum sess_verdict {
-    SESS_DROP, /* of another session, too old, or out of order */
-    SESS_BEAT, /* nothing new but its age */
-    SESS_TAKE  /* the next message; act on what it says */
+    SESS_DROP,    /* of another session or too old; ignore it */
+    SESS_NO_DATA, /* fresh, but a heartbeat, a duplicate or out of order */
+    SESS_DELIVER  /* the next message in order; process its contents */
 };
 
 struct sess_item;
 
+/* One side of a session.  Times are ms of this process's clock. */
 struct sess {
-    uint64_t number; /* 0: none */
-    uint64_t their_clock;
-    uint64_t heard_ms;  /* when their_clock was learned */
-    uint64_t echoed_ms; /* heard_ms of the newest clock that we echoed */
-    uint64_t fresh_ms;  /* our clock as the other last echoed it */
-    uint64_t sent_ms;
-    uint64_t out_seq;
-    uint64_t acked;
-    uint64_t in_seq;
-    struct sess_item *head; /* not acknowledged, oldest first */
+    uint64_t number;           /* 0: none */
+    uint64_t peer_clock_ms;    /* the peer's clock, as last received */
+    uint64_t peer_clock_at_ms; /* when it was received */
+    uint64_t echoed_at_ms;     /* peer_clock_at_ms of the newest clock that was
+                                * echoed */
+    uint64_t own_clock_echo_ms; /* newest own clock that the peer echoed */
+    uint64_t last_sent_ms;
+    uint64_t send_seq;      /* of the last message enqueued */
+    uint64_t acked_seq;     /* of the last message acknowledged */
+    uint64_t recv_seq;      /* of the last message delivered */
+    struct sess_item *head; /* unacknowledged messages, oldest first */
     struct sess_item **tail;
 };
 
 void sess_init(struct sess *s);
-/* Drop what was not acknowledged and begin anew. */
+/* Discards unacknowledged messages and starts a new session. */
 void sess_begin(struct sess *s, uint64_t number);
+/* Ends the session and discards unacknowledged messages. */
 void sess_end(struct sess *s);
-/* Make ready a message that may be lost; send it now. */
-void sess_stamp(struct sess *s, uint64_t now, dw_msg *msg);
-/* Make ready a message that must arrive; send it now.  The session owns it
- * until it is acknowledged. */
-void sess_keep(struct sess *s, uint64_t now, dw_msg *msg);
-/* The next message to send again, after msg or the first; NULL when done. */
-dw_msg *sess_again(struct sess *s, uint64_t now, const dw_msg *msg);
-/* Send again all that is due, to a peer. */
+/* Fills in the head of a message that may be lost; the caller sends it at
+ * once. */
+void sess_fill_head(struct sess *s, uint64_t now, dw_msg *msg);
+/* Fills in the head of a message that must be delivered and keeps it, as its
+ * owner, until it is acknowledged; the caller sends it at once. */
+void sess_enqueue(struct sess *s, uint64_t now, dw_msg *msg);
+/* The next message to send again, after msg or (NULL) the first, with an
+ * updated head; NULL if there is none. */
+dw_msg *sess_next_resend(struct sess *s, uint64_t now, const dw_msg *msg);
+/* Sends all messages that are due again to the process `to`. */
 void sess_resend(struct sess *s, uint64_t now, uint64_t to,
     void (*send)(void *ctx, uint64_t to, const dw_msg *msg), void *ctx);
-enum sess_verdict sess_take(struct sess *s, uint64_t now, const dw_head *head);
+/* Processes the head of a received message; the verdict says what to do with
+ * its contents. */
+enum sess_verdict sess_receive(
+    struct sess *s, uint64_t now, const dw_head *head);
 
 /* Queries. */
-/* The other side was alive within the lease. */
+/* The peer was certainly alive within the lease. */
 bool sess_live(const struct sess *s, uint64_t now);
-bool sess_beat_due(const struct sess *s, uint64_t now);
-/* From when on the other side acts on nothing that this one sent. */
-uint64_t sess_over_at(const struct sess *s);
+bool sess_heartbeat_due(const struct sess *s, uint64_t now);
+/* The time from which the peer acts on no message sent so far. */
+uint64_t sess_peer_expiry_ms(const struct sess *s);
 
 #ifdef __cplusplus
 }
--- a/sim-int.h
+++ b/sim-int.h
@@ -94,7 +94,7 @@
 struct sim_caller {
     struct sim_job *job;
     uint32_t try;
-    struct rl_taken *taken; /* NULL: a caller */
+    struct rl_accepted *taken; /* NULL: a caller */
     struct sim_caller *prev;
     struct sim_caller *next;
 };
--- a/simentry.c
+++ b/simentry.c
@@ -61,7 +61,7 @@
 /* --- who waits --- */
 
 static struct sim_caller *
-new_caller(struct sim_entry *e, struct sim_job *j, struct rl_taken *t)
+new_caller(struct sim_entry *e, struct sim_job *j, struct rl_accepted *t)
 {
     struct sim_caller *who = dw_zero(1, sizeof(*who));
 
@@ -138,7 +138,7 @@
 
 static void
 entry_note_refusal(void *ctx, const struct co_submit *sub,
-    const struct gs_guess *g, const char *why, uint64_t waiting_ms)
+    const struct es_estimate *g, const char *why, uint64_t waiting_ms)
 {
     (void)ctx;
     (void)sub;
@@ -210,7 +210,7 @@
 }
 
 static void
-begin_taken(void *ctx, struct rl_taken *t)
+begin_taken(void *ctx, struct rl_accepted *t)
 {
     struct sim_entry *e = ctx;
     struct sim_job *j = sim_job_of(e->s, strtoull(t->path, NULL, 10));
@@ -224,7 +224,7 @@
 }
 
 static void
-leave_taken(void *ctx, struct rl_taken *t)
+leave_taken(void *ctx, struct rl_accepted *t)
 {
     struct sim_entry *e = ctx;
 
@@ -253,7 +253,7 @@
 
     snprintf(path, sizeof(path), "%llu", (unsigned long long)who->job->id);
     if (e->s->d->entries_keep ||
-        !rl_give(&e->relay, sim_ms(e->s), who, STR("host"), str_of(path),
+        !rl_forward(&e->relay, sim_ms(e->s), who, STR("host"), str_of(path),
             STR("body"),
             (uint32_t)(num_minus(who->job->deadline_us, e->s->now_us) /
                        1000))) {
@@ -275,10 +275,10 @@
         co_report(&e->c, now, from, &m->dw_msg_u.report);
     }
     else if (m->type == DW_RELAY) {
-        rl_take(&e->relay, now, from, &m->dw_msg_u.relay);
+        rl_receive_requests(&e->relay, now, from, &m->dw_msg_u.relay);
     }
     else if (m->type == DW_RELAYED) {
-        rl_replies(&e->relay, now, from, &m->dw_msg_u.relayed);
+        rl_receive_replies(&e->relay, now, from, &m->dw_msg_u.relayed);
     }
     msg_free(m);
 }
@@ -333,17 +333,17 @@
     uint64_t now = sim_ms(e->s);
     double before = e->spent_us;
 
-    rl_tell(&e->relay, &state);
+    rl_set_state(&e->relay, &state);
     if (!lg_has_time(&e->lag) && !e->s->d->entries_keep) {
-        rl_need(&e->relay, now);
+        rl_need_peers(&e->relay, now);
     }
     rl_tick(&e->relay, now);
     spend(e, TICK_WORK_US);
     co_tick(&e->c, now);
     lg_probe(&e->lag, present_us(e), (uint64_t)(e->spent_us - before), 1);
-    if (gs_keep_due(&e->c.times, now)) {
+    if (es_save_due(&e->c.times, now)) {
         buf_free(&e->s->times[e->index]);
-        gs_save(&e->c.times, &e->s->times[e->index]);
+        es_save(&e->c.times, &e->s->times[e->index]);
     }
 }
 
@@ -458,7 +458,7 @@
     if (who == NULL) {
         return; /* not read yet */
     }
-    if (!it_drop(&e->intake, who) && !rl_drop(&e->relay, who)) {
+    if (!it_drop(&e->intake, who) && !rl_cancel(&e->relay, who)) {
         co_leave(&e->c, sim_ms(e->s), who);
     }
     free_caller(e, who);
@@ -506,7 +506,7 @@
             n++;
         }
     }
-    fl_withdraw(&e->c.fleet, list, n);
+    fl_set_withdrawn(&e->c.fleet, list, n);
 }
 
 static void
@@ -530,7 +530,7 @@
     }
     for (uint32_t i = 0; i < e->s->d->entries; i++) {
         if (e->s->entries[i].id != 0) {
-            rl_entry_in(&e->relay, e->s->entries[i].id);
+            rl_add_entry(&e->relay, e->s->entries[i].id);
         }
     }
     tell_withdrawn(e);
@@ -545,7 +545,7 @@
     if (e != NULL) {
         tell_members(e);
         for (uint32_t i = 0; i < s->d->entries; i++) {
-            gs_load(&e->c.times, buf_str(&s->times[i]));
+            es_load(&e->c.times, buf_str(&s->times[i]));
         }
         flush(e);
     }
--- a/test/agent-test.cc
+++ b/test/agent-test.cc
@@ -231,13 +231,13 @@
 
     s.room(9000);
     s.beat(1);
-    s.now += SESS_BEAT_MS;
+    s.now += SESS_HEARTBEAT_MS;
     s.flush();
     s.room(8000);
     s.now += 2 * AG_ROOM_MS_PER_ENTRY;
     s.flush();
     EXPECT_EQ(s.hears(1), -1);
-    s.now += SESS_BEAT_MS;
+    s.now += SESS_HEARTBEAT_MS;
     s.flush();
     EXPECT_EQ(s.hears(1), 8000);
     s.now++;
@@ -254,7 +254,7 @@
 
     s.room(3000);
     s.beat(1, {0, 0, 0, 100});
-    s.now += SESS_BEAT_MS;
+    s.now += SESS_HEARTBEAT_MS;
     s.flush();
     s.now++;
     s.room(2000);
--- a/test/coord-test.cc
+++ b/test/coord-test.cc
@@ -46,7 +46,7 @@
 }
 
 void
-co_noted_refusal(void *, const struct co_submit *, const struct gs_guess *,
+co_noted_refusal(void *, const struct co_submit *, const struct es_estimate *,
     const char *, uint64_t)
 {
 }
@@ -97,7 +97,7 @@
         r.head.session = agent()->sess.number;
         r.head.clock_ms = now;
         r.head.echo_ms = now;
-        r.head.ack = agent()->sess.out_seq;
+        r.head.ack = agent()->sess.send_seq;
         r.head.seq = list.empty() ? 0 : ++ends;
         r.room.serving = true;
         r.room.left_ms = UINT32_MAX;
@@ -116,10 +116,10 @@
     void
     room(int millicores)
     {
-        dw_room r = agent()->room;
+        dw_room r = agent()->status;
 
         r.free_millicores = millicores;
-        fl_room(agent(), agent()->sess.out_seq, &r);
+        fl_update_status(agent(), agent()->sess.send_seq, &r);
     }
     void
     submit(uint64_t id, size_t count, void *handle, uint32_t left = 1500,
@@ -251,12 +251,13 @@
 
     e.submit(5, 1, &caller, 9000);
     uint64_t first = e.run_of(5);
-    uint64_t over = sess_over_at(&e.agent()->sess) + RN_STOP_MS + RN_LAPSE_MS;
+    uint64_t over =
+        sess_peer_expiry_ms(&e.agent()->sess) + RN_STOP_MS + RN_LAPSE_MS;
 
     while (e.now + 20 < over) {
         e.now += 20;
         co_tick(&e.c, e.now);
-        if (e.agent()->sess.number != 0 && !e.agent()->live) {
+        if (e.agent()->sess.number != 0 && !e.agent()->session_open) {
             e.report({}); /* back, but not clean */
         }
         EXPECT_EQ(e.run_of(5), first) << e.now;
@@ -288,16 +289,16 @@
     int late;
     int fresh;
 
-    fl_room(e.agent(), e.agent()->sess.out_seq, &e.agent()->room);
-    e.agent()->room.free_millicores = 0;
-    fl_room(e.agent(), e.agent()->sess.out_seq, &e.agent()->room);
+    fl_update_status(e.agent(), e.agent()->sess.send_seq, &e.agent()->status);
+    e.agent()->status.free_millicores = 0;
+    fl_update_status(e.agent(), e.agent()->sess.send_seq, &e.agent()->status);
     e.submit(1, 1, &late);
     e.now += 150; /* 100 ms of work, objective of 200: too late now */
-    e.agent()->sess.fresh_ms = e.now;
+    e.agent()->sess.own_clock_echo_ms = e.now;
     e.submit(2, 1, &fresh);
     EXPECT_EQ(e.c.stats.runs, 0u);
-    e.agent()->room.free_millicores = 1000;
-    fl_room(e.agent(), e.agent()->sess.out_seq, &e.agent()->room);
+    e.agent()->status.free_millicores = 1000;
+    fl_update_status(e.agent(), e.agent()->sess.send_seq, &e.agent()->status);
     co_flush(&e.c, e.now);
     EXPECT_EQ(e.c.stats.runs, 1u);
     EXPECT_EQ(e.run_of(2), 51u);
@@ -312,20 +313,20 @@
 
     e.submit(5, 1, &caller, 9000);
     fl_agent *other = fl_add(&e.c.fleet, 4, "b", "aarhus", "s");
-    other->live = true;
+    other->session_open = true;
     other->member = true;
     other->sess.number = 9;
-    other->sess.fresh_ms = e.now + 100;
-    other->room = e.agent()->room;
-    fl_room(other, 0, &other->room);
+    other->sess.own_clock_echo_ms = e.now + 100;
+    other->status = e.agent()->status;
+    fl_update_status(other, 0, &other->status);
     e.now += 60;
-    e.agent()->sess.fresh_ms = e.now;
-    e.agent()->room.pace_permille = 100;
+    e.agent()->sess.own_clock_echo_ms = e.now;
+    e.agent()->status.pace_permille = 100;
     co_tick(&e.c, e.now);
     EXPECT_EQ(e.c.stats.moved, 1u);
     stopped = {{5, 0, 51}, DW_END_STOPPED, 60};
     e.report({stopped});
-    e.agent()->room.pace_permille = 100;
+    e.agent()->status.pace_permille = 100;
     EXPECT_EQ(e.run_of(5), 52u);
 }
 
@@ -338,17 +339,17 @@
     for (uint64_t id = 10; id < 60; id++) {
         fl_add(&e.c.fleet, id, "b", "aarhus", "s")->member = true;
     }
-    e.now += FL_CHOOSE_MS;
-    e.agent()->sess.fresh_ms = e.now;
+    e.now += FL_SELECT_INTERVAL_MS;
+    e.agent()->sess.own_clock_echo_ms = e.now;
     co_tick(&e.c, e.now);
-    ASSERT_TRUE(e.agent()->chosen);
-    e.agent()->room.millicores = 500;
+    ASSERT_TRUE(e.agent()->selected);
+    e.agent()->status.millicores = 500;
     e.agent()->free_millicores = 500;
     e.submit(7, 1, &caller);
     EXPECT_TRUE(e.callers.answers.empty());
     EXPECT_EQ(e.c.stats.widened, 1u);
-    e.now += FL_CHOOSE_MS;
-    e.agent()->sess.fresh_ms = e.now;
+    e.now += FL_SELECT_INTERVAL_MS;
+    e.agent()->sess.own_clock_echo_ms = e.now;
     co_tick(&e.c, e.now);
     e.submit(8, 1, &caller);
     ASSERT_EQ(e.callers.answers.size(), 1u);
@@ -365,7 +366,7 @@
     int others;
     int longer;
 
-    e.agent()->room.millicores = 100000;
+    e.agent()->status.millicores = 100000;
     for (uint64_t id = 10; id < 40; id++) {
         e.room(10000);
         e.submit(id, 1, &others); /* can wait 100 ms */
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -1,4 +1,4 @@
-/* The choice of a worker. */
+/* Placement of runs and selection of agents. */
 #include <gtest/gtest.h>
 
 #include <string>
@@ -18,19 +18,19 @@
         for (uint64_t id = 1; id <= 3; id++) {
             fl_agent *a = fl_add(&f, id, "a", "kolding", "s");
 
-            a->live = true;
+            a->session_open = true;
             a->sess.number = 1;
-            a->sess.fresh_ms = now;
-            room(id, 10000, 1000);
+            a->sess.own_clock_echo_ms = now;
+            set_capacity(id, 10000, 1000);
         }
-        fl_learn(&f, now);
+        fl_update_stats(&f, now);
     }
     ~Fleet3()
     {
         fl_free(&f);
     }
     void
-    room(uint64_t id, int free, uint32_t pace)
+    set_capacity(uint64_t id, int free, uint32_t pace)
     {
         dw_room r = {};
 
@@ -42,12 +42,13 @@
         r.free_memory_mb = 100;
         r.speed_permille = 1000;
         r.pace_permille = pace;
-        fl_room(fl_find(&f, id), 0, &r);
+        fl_update_status(fl_find(&f, id), 0, &r);
     }
     uint64_t
     pick(uint32_t est_ms, uint32_t waited_ms, bool failed = false)
     {
-        fl_need n = {"s", 1000, 1, 0, est_ms, waited_ms, failed, false, 0};
+        fl_requirements n = {
+            "s", 1000, 1, 0, est_ms, waited_ms, failed, false, 0};
         fl_agent *a = fl_pick(&f, now, &n);
 
         return a != nullptr ? a->id : 0;
@@ -56,33 +57,34 @@
 
 } // namespace
 
-/* All jobs are late: two workers are full and sound, one has turned slow and
- * looks free.  A task waits for a sound one while that is the shorter way. */
-TEST(Fleet3, ASlowWorkerIsTakenOnlyWhenWaitingCostsMore)
+/* Guards against a slow worker making all jobs late: two fast workers are full
+ * and a slow one is free.  A task waits for a fast one while that is expected
+ * to end sooner. */
+TEST(Fleet3, ASlowWorkerIsPickedOnlyWhenWaitingCostsMore)
 {
     Fleet3 t;
 
-    t.room(1, 0, 1000);
-    t.room(2, 0, 1000);
-    t.room(3, 10000, 150);
-    fl_find(&t.f, 3)->out = 1;
+    t.set_capacity(1, 0, 1000);
+    t.set_capacity(2, 0, 1000);
+    t.set_capacity(3, 10000, 150);
+    fl_find(&t.f, 3)->active_runs = 1;
     EXPECT_EQ(t.pick(100, 0), 0u);
     EXPECT_EQ(t.pick(100, 500), 0u);
     EXPECT_EQ(t.pick(100, 600), 3u);
-    t.room(1, 5000, 1000);
+    t.set_capacity(1, 5000, 1000);
     EXPECT_EQ(t.pick(100, 600), 1u);
 }
 
-/* A slow worker without runs would never be seen to be sound again. */
-TEST(Fleet3, ASlowWorkerIsTriedNowAndThen)
+/* Without a run, the recovery of a slow worker would go unnoticed. */
+TEST(Fleet3, AnIdleSlowWorkerIsProbed)
 {
     Fleet3 t;
 
-    t.room(1, 0, 1000);
-    t.room(2, 0, 1000);
-    t.room(3, 10000, 150);
+    t.set_capacity(1, 0, 1000);
+    t.set_capacity(2, 0, 1000);
+    t.set_capacity(3, 10000, 150);
     EXPECT_EQ(t.pick(100, 0), 3u);
-    fl_find(&t.f, 3)->probed_ms = t.now;
+    fl_find(&t.f, 3)->run_sent_ms = t.now;
     EXPECT_EQ(t.pick(100, 0), 0u);
 }
 
@@ -91,56 +93,56 @@
     Fleet3 t;
     fl_agent *a = fl_find(&t.f, 3);
 
-    t.room(1, 0, 1000);
-    t.room(2, 0, 1000);
+    t.set_capacity(1, 0, 1000);
+    t.set_capacity(2, 0, 1000);
     for (int i = 0; i < 12; i++) {
-        fl_note_end(a, t.now, DW_END_FAILED);
+        fl_run_ended(a, t.now, DW_END_FAILED);
     }
     EXPECT_EQ(t.pick(100, 0), 0u);
-    t.now = a->sick_until_ms;
-    a->sess.fresh_ms = t.now;
+    t.now = a->probation_until_ms;
+    a->sess.own_clock_echo_ms = t.now;
     EXPECT_EQ(t.pick(100, 0), 3u); /* one at a time */
-    a->out = 1;
+    a->active_runs = 1;
     EXPECT_EQ(t.pick(100, 0), 0u);
-    fl_note_end(a, t.now, DW_END_DONE);
+    fl_run_ended(a, t.now, DW_END_DONE);
     EXPECT_EQ(t.pick(100, 0), 3u);
 }
 
-/* Refused with cores free: a fifth of the workers failed part of their runs
- * during a burst and stood on probation. */
-TEST(Fleet3, AWorkerThatFailsPartOfItsRunsComesLast)
+/* Guards against refusals while cores are free: a fifth of the workers failed
+ * part of their runs during a burst and were put on probation. */
+TEST(Fleet3, AWorkerThatFailsPartOfItsRunsIsPickedLast)
 {
     Fleet3 t;
     fl_agent *a = fl_find(&t.f, 3);
 
-    t.room(3, 10000, 1250);
+    t.set_capacity(3, 10000, 1250);
     for (int i = 0; i < 30; i++) {
-        fl_note_end(a, t.now, i % 5 < 2 ? DW_END_FAILED : DW_END_DONE);
+        fl_run_ended(a, t.now, i % 5 < 2 ? DW_END_FAILED : DW_END_DONE);
     }
-    fl_learn(&t.f, t.now);
+    fl_update_stats(&t.f, t.now);
     EXPECT_NE(t.pick(100, 0), 3u);
-    t.room(1, 0, 1000);
-    t.room(2, 0, 1000);
+    t.set_capacity(1, 0, 1000);
+    t.set_capacity(2, 0, 1000);
     EXPECT_EQ(t.pick(100, 0), 3u);
     EXPECT_EQ(t.pick(100, 0, true), 0u);
 }
 
-TEST(Fleet3, NothingGoesToAWithdrawnDomainOrALeavingWorker)
+TEST(Fleet3, NothingIsSentToAWithdrawnDomainOrADrainingWorker)
 {
     Fleet3 t;
     const char *out[] = {"kolding"};
 
-    fl_withdraw(&t.f, out, 1);
+    fl_set_withdrawn(&t.f, out, 1);
     EXPECT_EQ(t.pick(100, 0), 0u);
-    fl_withdraw(&t.f, nullptr, 0);
+    fl_set_withdrawn(&t.f, nullptr, 0);
     EXPECT_NE(t.pick(100, 0), 0u);
     for (uint64_t id = 1; id <= 3; id++) {
-        fl_find(&t.f, id)->room.draining = true;
+        fl_find(&t.f, id)->status.draining = true;
     }
     EXPECT_EQ(t.pick(100, 0), 0u);
 }
 
-/* --- whom to keep sessions with --- */
+/* --- selection of agents --- */
 
 namespace {
 
@@ -161,65 +163,66 @@
 
             a->member = true;
         }
-        fl_choose(&f, now);
+        fl_select(&f, now);
     }
     ~Many()
     {
         fl_free(&f);
     }
     size_t
-    chosen(const char *domain = nullptr)
+    selected(const char *domain = nullptr)
     {
         size_t n = 0;
 
         for (fl_agent *a = f.agents; a != nullptr;
              a = static_cast<fl_agent *>(a->hh.next)) {
-            n += a->chosen &&
+            n += a->selected &&
                  (domain == nullptr || strcmp(a->domain, domain) == 0);
         }
         return n;
     }
     void
-    answer_all()
+    open_all()
     {
         for (fl_agent *a = f.agents; a != nullptr;
              a = static_cast<fl_agent *>(a->hh.next)) {
-            a->live = a->chosen;
+            a->session_open = a->selected;
         }
     }
     void
-    pass(uint64_t ms)
+    advance(uint64_t ms)
     {
         now += ms;
-        fl_choose(&f, now);
+        fl_select(&f, now);
     }
 };
 
 } // namespace
 
-TEST(Many, ASmallFleetIsKeptWhole)
+TEST(Many, OfASmallFleetAllAreSelected)
 {
-    Many m(FL_CHOSEN_MAX);
+    Many m(FL_SELECTED_MAX);
 
-    EXPECT_EQ(m.chosen(), FL_CHOSEN_MAX);
+    EXPECT_EQ(m.selected(), FL_SELECTED_MAX);
 }
 
-/* Sessions between all pairs took half of an entry's processor at 300. */
-TEST(Many, ALargeFleetIsKeptInPartHalfOfItNear)
+/* Guards against sessions between all pairs, which took half of an entry's
+ * processor at 300 agents. */
+TEST(Many, OfALargeFleetSomeAreSelectedHalfOfThemLocal)
 {
     Many m(300);
 
-    EXPECT_EQ(m.chosen(), FL_CHOSEN_MAX);
-    EXPECT_GE(m.chosen("kolding"), FL_NEAR_MAX);
-    EXPECT_LT(m.chosen("kolding"), FL_CHOSEN_MAX);
-    m.answer_all();
-    m.pass(10000);
-    EXPECT_EQ(m.chosen(), FL_CHOSEN_MAX);
+    EXPECT_EQ(m.selected(), FL_SELECTED_MAX);
+    EXPECT_GE(m.selected("kolding"), FL_LOCAL_MAX);
+    EXPECT_LT(m.selected("kolding"), FL_SELECTED_MAX);
+    m.open_all();
+    m.advance(10000);
+    EXPECT_EQ(m.selected(), FL_SELECTED_MAX);
 }
 
-/* Agents must not be left out by all entries, nor chosen by all: chosen by
- * chance, a few of 300 had no entry and some had eight. */
-TEST(Many, EntriesChooseInTurns)
+/* Guards against agents that no entry or too many entries select: with random
+ * selection, a few of 300 agents had no entry and some had eight. */
+TEST(Many, EntriesSelectAgentsEvenly)
 {
     std::vector<size_t> times(301);
 
@@ -227,109 +230,110 @@
         Many m(300);
 
         fl_set_rank(&m.f, rank, rank);
-        m.pass(FL_CHOOSE_MS);
+        m.advance(FL_SELECT_INTERVAL_MS);
         for (size_t i = 1; i <= 300; i++) {
-            times[i] += fl_find(&m.f, i)->chosen;
+            times[i] += fl_find(&m.f, i)->selected;
         }
     }
     for (size_t i = 1; i <= 300; i++) {
-        size_t each = 43 * FL_NEAR_MAX / (i % Many::DOMAINS == 0 ? 75 : 225);
+        size_t expected =
+            43 * FL_LOCAL_MAX / (i % Many::DOMAINS == 0 ? 75 : 225);
 
-        EXPECT_GE(times[i], each);
-        EXPECT_LE(times[i], each + 1);
+        EXPECT_GE(times[i], expected);
+        EXPECT_LE(times[i], expected + 1);
     }
 }
 
-/* The entry's own domain goes out of service: others take its part, and it is
- * chosen again when it is back. */
-TEST(Many, AWithdrawnDomainGivesItsPartToOthers)
+/* The entry's own domain is withdrawn: agents of other domains replace its own
+ * until it is back in service. */
+TEST(Many, AgentsOfAWithdrawnDomainAreReplaced)
 {
     Many m(300);
     const char *out[] = {"kolding"};
 
-    m.answer_all();
-    fl_withdraw(&m.f, out, 1);
-    m.pass(FL_CHOOSE_MS);
-    EXPECT_EQ(m.chosen("kolding"), 0u);
-    EXPECT_EQ(m.chosen(), FL_CHOSEN_MAX);
-    fl_withdraw(&m.f, nullptr, 0);
-    m.pass(FL_CHOOSE_MS);
-    EXPECT_GE(m.chosen("kolding"), FL_NEAR_MAX);
+    m.open_all();
+    fl_set_withdrawn(&m.f, out, 1);
+    m.advance(FL_SELECT_INTERVAL_MS);
+    EXPECT_EQ(m.selected("kolding"), 0u);
+    EXPECT_EQ(m.selected(), FL_SELECTED_MAX);
+    fl_set_withdrawn(&m.f, nullptr, 0);
+    m.advance(FL_SELECT_INTERVAL_MS);
+    EXPECT_GE(m.selected("kolding"), FL_LOCAL_MAX);
 }
 
-/* A cut leaves the entry with agents that do not answer: it would serve with
- * the rest alone, though it reaches others. */
-TEST(Many, AgentsThatDoNotAnswerAreReplacedAndTriedAgain)
+/* Guards against an entry that, after a network cut, uses only the selected
+ * agents that still reply, although it can reach others. */
+TEST(Many, AgentsThatDoNotReplyAreReplacedAndRetried)
 {
     Many m(300);
-    fl_agent *dead = nullptr;
+    fl_agent *silent = nullptr;
 
-    m.answer_all();
+    m.open_all();
     for (fl_agent *a = m.f.agents; a != nullptr;
          a = static_cast<fl_agent *>(a->hh.next)) {
-        if (a->chosen) {
-            dead = a;
+        if (a->selected) {
+            silent = a;
         }
     }
-    dead->live = false;
-    m.pass(FL_UNANSWERED_MS);
-    m.pass(FL_CHOOSE_MS);
-    EXPECT_FALSE(dead->chosen);
-    EXPECT_EQ(m.chosen(), FL_CHOSEN_MAX);
-    m.pass(FL_TRY_AGAIN_MS);
-    m.pass(FL_CHOOSE_MS);
-    EXPECT_TRUE(dead->chosen);
+    silent->session_open = false;
+    m.advance(FL_NO_REPLY_MS);
+    m.advance(FL_SELECT_INTERVAL_MS);
+    EXPECT_FALSE(silent->selected);
+    EXPECT_EQ(m.selected(), FL_SELECTED_MAX);
+    m.advance(FL_RETRY_MS);
+    m.advance(FL_SELECT_INTERVAL_MS);
+    EXPECT_TRUE(silent->selected);
 }
 
-/* One worker of all has an accelerator, and is not among the chosen: the task
- * must not be refused as one that never fits. */
-TEST(Many, ATaskThatNoneOfTheChosenHoldsWidensTheChoice)
+/* Guards against refusing a task as one that never fits when the only worker
+ * with an accelerator is not among the selected. */
+TEST(Many, ATaskThatNoSelectedWorkerHoldsSelectsAll)
 {
     Many m(200);
 
-    EXPECT_TRUE(fl_widen(&m.f, m.now));
-    m.pass(FL_CHOOSE_MS);
-    EXPECT_EQ(m.chosen(), 200u);
-    EXPECT_FALSE(fl_widen(&m.f, m.now));
-    m.pass(FL_WIDE_MS);
-    m.pass(FL_CHOOSE_MS);
-    EXPECT_EQ(m.chosen(), FL_CHOSEN_MAX);
+    EXPECT_TRUE(fl_select_all(&m.f, m.now));
+    m.advance(FL_SELECT_INTERVAL_MS);
+    EXPECT_EQ(m.selected(), 200u);
+    EXPECT_FALSE(fl_select_all(&m.f, m.now));
+    m.advance(FL_SELECT_ALL_MS);
+    m.advance(FL_SELECT_INTERVAL_MS);
+    EXPECT_EQ(m.selected(), FL_SELECTED_MAX);
 }
 
-/* Workers of a large fleet drained while a domain was withdrawn: each look at
- * one of them moved the whole choice, and entries opened and left a hundred
- * sessions in some seconds.  One that drains is replaced by one, and is not
- * asked again at once. */
-TEST(Many, OneThatDrainsIsReplacedByOne)
+/* Guards against a draining worker that changes the whole selection: when
+ * workers of a large fleet drained while a domain was withdrawn, entries
+ * opened and closed a hundred sessions within seconds.  A draining worker is
+ * replaced by one other, and is not selected again at once. */
+TEST(Many, ADrainingWorkerIsReplacedByOneOther)
 {
     Many m(300);
     std::vector<bool> before(301);
-    fl_agent *drains = nullptr;
+    fl_agent *draining = nullptr;
     size_t changed = 0;
 
     fl_set_rank(&m.f, 3, 11);
-    m.pass(FL_CHOOSE_MS);
-    m.answer_all();
+    m.advance(FL_SELECT_INTERVAL_MS);
+    m.open_all();
     for (size_t i = 1; i <= 300; i++) {
-        before[i] = fl_find(&m.f, i)->chosen;
+        before[i] = fl_find(&m.f, i)->selected;
         if (before[i]) {
-            drains = fl_find(&m.f, i);
+            draining = fl_find(&m.f, i);
         }
     }
-    drains->room.draining = true;
-    m.pass(FL_CHOOSE_MS);
-    EXPECT_FALSE(drains->chosen);
+    draining->status.draining = true;
+    m.advance(FL_SELECT_INTERVAL_MS);
+    EXPECT_FALSE(draining->selected);
     for (size_t i = 1; i <= 300; i++) {
-        changed += before[i] != fl_find(&m.f, i)->chosen;
+        changed += before[i] != fl_find(&m.f, i)->selected;
     }
     EXPECT_EQ(changed, 2u);
-    fl_leave_out(drains, m.now);
-    m.pass(FL_CHOOSE_MS);
-    EXPECT_FALSE(drains->chosen);
-    EXPECT_EQ(m.chosen(), FL_CHOSEN_MAX);
+    fl_deselect(draining, m.now);
+    m.advance(FL_SELECT_INTERVAL_MS);
+    EXPECT_FALSE(draining->selected);
+    EXPECT_EQ(m.selected(), FL_SELECTED_MAX);
 }
 
-TEST(Many, EachServiceHasItsOwnPart)
+TEST(Many, AgentsAreSelectedPerService)
 {
     Many m(200);
 
@@ -337,57 +341,58 @@
         str_copy(fl_find(&m.f, i)->service, FL_NAME_MAX,
             str_of(i <= 100 ? "s" : "t"));
     }
-    m.pass(FL_CHOOSE_MS);
-    EXPECT_EQ(m.chosen(), 2 * FL_CHOSEN_MAX);
+    m.advance(FL_SELECT_INTERVAL_MS);
+    EXPECT_EQ(m.selected(), 2 * FL_SELECTED_MAX);
 }
 
-/* --- room --- */
+/* --- free capacity --- */
 
-/* Guards against entries that count on rests of workers which hold no task,
- * and so keep jobs that get no turn. */
-TEST(Fleet3, RestsThatHoldNoTaskAreNoRoom)
+/* Guards against entries that count free cores which do not suffice for a
+ * task, and so keep jobs that are never placed. */
+TEST(Fleet3, CoresThatHoldNoTaskAreNotCountedAsFree)
 {
     Fleet3 t;
 
-    t.room(1, 9000, 1000);
-    t.room(2, 3000, 1000);
-    t.room(3, 0, 1000);
-    EXPECT_EQ(fl_sum_up(&t.f, t.now, "s", 1).free, 12000);
-    EXPECT_EQ(fl_sum_up(&t.f, t.now, "s", 4000).free, 8000);
-    EXPECT_EQ(fl_sum_up(&t.f, t.now, "other", 4000).free, 0);
-    EXPECT_EQ(fl_sum_up(&t.f, t.now, "other", 4000).capacity, 0);
+    t.set_capacity(1, 9000, 1000);
+    t.set_capacity(2, 3000, 1000);
+    t.set_capacity(3, 0, 1000);
+    EXPECT_EQ(fl_total(&t.f, t.now, "s", 1).free, 12000);
+    EXPECT_EQ(fl_total(&t.f, t.now, "s", 4000).free, 8000);
+    EXPECT_EQ(fl_total(&t.f, t.now, "other", 4000).free, 0);
+    EXPECT_EQ(fl_total(&t.f, t.now, "other", 4000).capacity, 0);
 }
 
-/* Guards against counting slow workers as sound ones when the wait is told. */
-TEST(Fleet3, SlowWorkersCountForWhatTheyDo)
+/* Guards against counting slow workers as fast ones in the estimate of the
+ * wait. */
+TEST(Fleet3, SlowWorkersCountAccordingToTheirPace)
 {
     Fleet3 t;
 
-    t.room(3, 10000, 200);
-    EXPECT_EQ(fl_sum_up(&t.f, t.now, "s", 1).free, 22000);
-    fl_find(&t.f, 1)->out = 1;
-    fl_find(&t.f, 3)->out = 1;
-    EXPECT_NEAR(fl_sum_up(&t.f, t.now, "s", 1).pace, 0.6, 0.01);
+    t.set_capacity(3, 10000, 200);
+    EXPECT_EQ(fl_total(&t.f, t.now, "s", 1).free, 22000);
+    fl_find(&t.f, 1)->active_runs = 1;
+    fl_find(&t.f, 3)->active_runs = 1;
+    EXPECT_NEAR(fl_total(&t.f, t.now, "s", 1).mean_pace, 0.6, 0.01);
 }
 
-/* Guards against each entry finding out by its own tasks' attempts that a
- * worker fails all that it starts. */
-TEST(Fleet3, AWorkerThatFailedForOthersIsTriedByOneRun)
+/* Guards against each entry spending attempts of its own tasks to find out
+ * that a worker fails all its runs. */
+TEST(Fleet3, AWorkerThatFailedForOtherEntriesIsProbedByOneRun)
 {
     Fleet3 t;
     fl_agent *a = fl_find(&t.f, 3);
 
-    t.room(1, 0, 1000);
-    t.room(2, 0, 1000);
-    a->room.fail_permille = 900;
-    a->probed_ms = t.now;
+    t.set_capacity(1, 0, 1000);
+    t.set_capacity(2, 0, 1000);
+    a->status.fail_permille = 900;
+    a->run_sent_ms = t.now;
     EXPECT_EQ(t.pick(100, 0), 0u);
     t.now += 500;
-    a->sess.fresh_ms = t.now;
+    a->sess.own_clock_echo_ms = t.now;
     EXPECT_EQ(t.pick(100, 0), 3u);
-    a->out = 1;
+    a->active_runs = 1;
     EXPECT_EQ(t.pick(100, 0), 0u);
-    a->out = 0;
-    a->room.fail_permille = 0;
+    a->active_runs = 0;
+    a->status.fail_permille = 0;
     EXPECT_EQ(t.pick(100, 0), 3u);
 }
--- a/test/route-test.cc
+++ b/test/route-test.cc
@@ -1,4 +1,4 @@
-/* Routes: whose prefix a request has, and which version is in force. */
+/* Routes: matching of requests, and the version in force. */
 #include <gtest/gtest.h>
 
 #include <string>
@@ -19,7 +19,7 @@
         to->name = str_dup(str_of(r.second));
         to->host = str_dup(str_of(r.first));
         to->prefix = str_dup(str_of(r.second));
-        to->prefix_n = strlen(r.second);
+        to->prefix_len = strlen(r.second);
         to->service = str_dup(STR("s"));
     }
     return t;
@@ -54,17 +54,18 @@
     rt_free(&t);
 }
 
-/* A caller gets 404 for a route it was just served by: an older version came
- * after the newer one, by a slow reader or a peer, and must not be taken. */
-TEST(Route, AnOlderVersionIsNeverTaken)
+/* Guards against a 404 for a route that worked a moment ago: an older version
+ * of the configuration arrives after the newer one, from a slow reader or
+ * another entry, and must not replace it. */
+TEST(Route, AnOlderVersionNeverReplacesANewerOne)
 {
     rt_table t = table_of(5, {{"h", "/new/"}});
     rt_table older = table_of(4, {{"h", "/old/"}});
     rt_table newer = table_of(9, {{"h", "/newest/"}});
 
-    EXPECT_FALSE(rt_adopt(&t, &older));
+    EXPECT_FALSE(rt_replace(&t, &older));
     EXPECT_NE(rt_match(&t, STR("h"), STR("/new/1")), nullptr);
-    EXPECT_TRUE(rt_adopt(&t, &newer));
+    EXPECT_TRUE(rt_replace(&t, &newer));
     EXPECT_NE(rt_match(&t, STR("h"), STR("/newest/1")), nullptr);
     rt_free(&t);
 }
--- a/test/serve-test.cc
+++ b/test/serve-test.cc
@@ -1,7 +1,7 @@
 /*
- * The platform's path as a whole, without sockets: entries, agents and
- * workers under faults.  Whatever happens, no task runs twice at a time, no
- * worker is given more than it holds, and answers are true.
+ * Entries, agents and workers together under faults, without sockets.  Under
+ * all faults, no task runs twice at a time, no worker is sent more than it
+ * can hold, and answers are true.
  */
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 constexpr size_t ENTRIES = 2;
 constexpr size_t AGENTS = 4;
 
-/* Jobs of two kinds, about two thirds of what the workers can do. */
+/* Jobs of two kinds, at about two thirds of the workers' capacity. */
 void
 traffic(World &w, uint64_t ms)
 {
@@ -46,15 +46,15 @@
 }
 
 std::string
-first_broken(const World &w)
+first_violation(const World &w)
 {
     return w.broken.empty() ? "" : w.broken[0];
 }
 
 struct FaultCase {
     const char *name;
-    void (*strike)(World &w);
-    double least; /* share of jobs that complete during the fault */
+    void (*inject)(World &w);
+    double min_completed; /* share of jobs, including those during the fault */
 };
 
 void
@@ -90,9 +90,9 @@
     {"agent_killed", [](World &w) { w.kill_agent(0, 400); }, 0.97},
     {"agent_killed_for_long", [](World &w) { w.kill_agent(1, 4000); }, 0.97},
     {"agent_frozen", [](World &w) { w.freeze_agent(0, 3500); }, 0.95},
-    {"agent_frozen_past_a_session", [](World &w) { w.freeze_agent(0, 500); },
-        0.95},
-    {"agent_frozen_just_below",
+    {"agent_frozen_longer_than_the_lease",
+        [](World &w) { w.freeze_agent(0, 500); }, 0.95},
+    {"agent_frozen_almost_for_the_lease",
         [](World &w) { w.freeze_agent(0, SESS_LEASE_MS - 20); }, 0.95},
     {"entry_killed", [](World &w) { w.kill_entry(0, 600); }, 0.85},
     {"entry_frozen", [](World &w) { w.freeze_entry(0, 3500); }, 0.5},
@@ -103,7 +103,7 @@
     {"cut_near_the_lease",
         [](World &w) { w.cut(0, 0, true, true, SESS_LEASE_MS + 5); }, 0.95},
     {"worker_crashes", [](World &w) { w.crash_worker(0, 1500); }, 0.95},
-    {"worker_reborn_at_once", [](World &w) { w.crash_worker(0, 3); }, 0.95},
+    {"worker_restarts_at_once", [](World &w) { w.crash_worker(0, 3); }, 0.95},
     {"worker_drains", [](World &w) { w.drain_worker(0); }, 0.99},
     {"worker_fails_all",
         [](World &w) {
@@ -113,10 +113,11 @@
         0.9},
 };
 
-/* Twenty seeds each: the fault strikes in the middle of steady traffic; after
- * it all jobs complete again.  Entries give so much of it to one another. */
+/* Twenty seeds each: the fault is injected into steady traffic; after it all
+ * jobs complete again.  Entries forward the given share of requests to one
+ * another. */
 void
-promises_hold(const FaultCase &f, double give_part)
+check_promises(const FaultCase &f, double forward_share)
 {
     Tally during;
 
@@ -124,24 +125,24 @@
         World w(seed, ENTRIES, AGENTS);
         uint64_t began = w.now;
 
-        w.give_part = give_part;
+        w.give_part = forward_share;
         traffic(w, 14000);
         w.run(1500 + seed * 13);
-        if (give_part > 0) {
+        if (forward_share > 0) {
             EXPECT_GT(w.given, 10u);
         }
-        f.strike(w);
+        f.inject(w);
         w.run(8500);
-        uint64_t calm = w.now;
+        uint64_t recovered = w.now;
         w.run(8000);
-        EXPECT_EQ(first_broken(w), "") << f.name << " seed " << seed;
+        EXPECT_EQ(first_violation(w), "") << f.name << " seed " << seed;
         Tally all = tally(w, began);
-        Tally after = tally(w, calm);
+        Tally after = tally(w, recovered);
         during.calls += all.calls;
         during.completed += all.completed;
         EXPECT_EQ(after.completed, after.calls) << f.name << " seed " << seed;
     }
-    EXPECT_GE((double)during.completed / (double)during.calls, f.least)
+    EXPECT_GE((double)during.completed / (double)during.calls, f.min_completed)
         << f.name;
 }
 
@@ -157,28 +158,31 @@
 
 TEST_P(Fault, PromisesHold)
 {
-    promises_hold(GetParam(), 0);
+    check_promises(GetParam(), 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(Served, Fault, testing::ValuesIn(faults), name_of);
 
-/* Half of the requests are begun by another entry than they came to. */
+/* Half of the requests are started by another entry than received them. */
 const FaultCase relay_faults[] = {
     {"none", [](World &) {}, 1.0},
     {"killed", [](World &w) { w.kill_entry(0, 600); }, 0.85},
-    {"dark", [](World &w) { w.darken_entry(0, 900); }, 0.8},
+    {"unreachable", [](World &w) { w.darken_entry(0, 900); }, 0.8},
     {"frozen_briefly", [](World &w) { w.freeze_entry(0, 600); }, 0.85},
-    {"frozen_past_a_session", [](World &w) { w.freeze_entry(0, 400); }, 0.85},
+    {"frozen_longer_than_the_lease", [](World &w) { w.freeze_entry(0, 400); },
+        0.85},
     {"frozen_for_long", [](World &w) { w.freeze_entry(0, 3500); }, 0.5},
-    {"giver_cut_off", [](World &w) { w.cut_entries(0, 1, 3000); }, 0.85},
-    {"taker_cut_off", [](World &w) { w.cut_entries(1, 0, 3000); }, 0.85},
+    {"cut_from_origin_to_peer", [](World &w) { w.cut_entries(0, 1, 3000); },
+        0.85},
+    {"cut_from_peer_to_origin", [](World &w) { w.cut_entries(1, 0, 3000); },
+        0.85},
     {"cut_near_the_lease",
         [](World &w) {
             w.cut_entries(0, 1, SESS_LEASE_MS + 5);
             w.cut_entries(1, 0, SESS_LEASE_MS + 5);
         },
         0.85},
-    {"dark_while_an_agent_is_cut_off",
+    {"unreachable_while_an_agent_is_cut_off",
         [](World &w) {
             w.darken_entry(0, 900);
             w.after(SESS_LEASE_MS, [&w] { w.cut(1, 0, true, true, 2000); });
@@ -188,22 +192,23 @@
 
 class RelayFault : public testing::TestWithParam<FaultCase> {};
 
-/* A task runs twice: its job was given to another entry, which goes on with it
- * after the first has gone and the caller has sent it again. */
+/* Guards against a task that runs twice: its job was forwarded to another
+ * entry, which continues with it after the first has failed and the caller has
+ * sent the request again. */
 TEST_P(RelayFault, PromisesHold)
 {
-    promises_hold(GetParam(), 0.5);
+    check_promises(GetParam(), 0.5);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Served, RelayFault, testing::ValuesIn(relay_faults), name_of);
 
-/* The same with faults of entries, agents and the links between all of them
- * one upon another. */
-TEST(Served, RelayFaultsOneUponAnother)
+/* The same under overlapping faults of entries, agents and the links between
+ * them. */
+TEST(Served, RelayFaultsThatOverlap)
 {
-    const char *more = getenv("DW_SEEDS");
-    uint64_t seeds = more != nullptr ? strtoull(more, nullptr, 10) : 30;
+    const char *count = getenv("DW_SEEDS");
+    uint64_t seeds = count != nullptr ? strtoull(count, nullptr, 10) : 30;
 
     for (uint64_t seed = 500; seed < 500 + seeds; seed++) {
         World w(seed, 3, AGENTS);
@@ -239,21 +244,21 @@
             }
         }
         w.run(12000);
-        EXPECT_EQ(first_broken(w), "") << "seed " << seed;
+        EXPECT_EQ(first_violation(w), "") << "seed " << seed;
     }
 }
 
-/* Faults of all kinds one upon another, each second, for 20 s.  DW_SEEDS
- * plays more than the 30 seeds of a usual run, DW_SEED a single one. */
-TEST(Served, FaultsOneUponAnother)
+/* Overlapping faults of all kinds, two every 0.2 to 1.1 s, for 20 s.  DW_SEEDS
+ * sets the number of seeds, 30 by default; DW_SEED runs a single one. */
+TEST(Served, FaultsThatOverlap)
 {
-    const char *more = getenv("DW_SEEDS");
-    const char *one = getenv("DW_SEED");
-    uint64_t seeds = more != nullptr ? strtoull(more, nullptr, 10) : 30;
+    const char *count = getenv("DW_SEEDS");
+    const char *single = getenv("DW_SEED");
+    uint64_t seeds = count != nullptr ? strtoull(count, nullptr, 10) : 30;
     uint64_t first = 100;
 
-    if (one != nullptr) {
-        first = strtoull(one, nullptr, 10);
+    if (single != nullptr) {
+        first = strtoull(single, nullptr, 10);
         seeds = 1;
     }
     for (uint64_t seed = first; seed < first + seeds; seed++) {
@@ -262,7 +267,7 @@
         traffic(w, 26000);
         for (int k = 0; k < 30; k++) {
             w.run(200 + w.rng() % 900);
-            faults[w.rng() % (sizeof(faults) / sizeof(faults[0]))].strike(w);
+            faults[w.rng() % (sizeof(faults) / sizeof(faults[0]))].inject(w);
             size_t e = w.rng() % ENTRIES;
             size_t a = w.rng() % AGENTS;
             switch (w.rng() % 6) {
@@ -286,6 +291,6 @@
             }
         }
         w.run(12000);
-        EXPECT_EQ(first_broken(w), "") << "seed " << seed;
+        EXPECT_EQ(first_violation(w), "") << "seed " << seed;
     }
 }
--- a/test/world.cc
+++ b/test/world.cc
@@ -277,7 +277,7 @@
 /* --- requests given to other entries --- */
 
 void
-relay_begin(void *ctx, rl_taken *t)
+relay_begin(void *ctx, rl_accepted *t)
 {
     FakeEntry *e = static_cast<FakeEntry *>(ctx);
     Call *c = e->w->calls.at(strtoull(t->path, nullptr, 10)).get();
@@ -289,7 +289,7 @@
 }
 
 void
-relay_leave(void *ctx, rl_taken *t)
+relay_leave(void *ctx, rl_accepted *t)
 {
     FakeEntry *e = static_cast<FakeEntry *>(ctx);
     FakeCaller *who = static_cast<FakeCaller *>(t->data);
@@ -314,8 +314,8 @@
 }
 
 void
-entry_note_refusal(void *, const struct co_submit *, const struct gs_guess *,
-    const char *, uint64_t)
+entry_note_refusal(void *, const struct co_submit *,
+    const struct es_estimate *, const char *, uint64_t)
 {
 }
 
@@ -470,9 +470,9 @@
 {
     rl_state state = {true, 0, 1};
 
-    rl_tell(&e->r, &state);
+    rl_set_state(&e->r, &state);
     if (give_part > 0) {
-        rl_need(&e->r, now);
+        rl_need_peers(&e->r, now);
     }
     rl_tick(&e->r, now);
     co_tick(&e->c, now);
@@ -508,8 +508,8 @@
     rl_init(&e->r, &relay_ops, e, e->id);
     for (auto &other : entries) {
         if (other->up && other->id != e->id) {
-            rl_entry_in(&e->r, other->id);
-            rl_entry_in(&other->r, e->id);
+            rl_add_entry(&e->r, other->id);
+            rl_add_entry(&other->r, e->id);
         }
     }
     for (auto &a : agents) {
@@ -553,12 +553,14 @@
             }
             else if (p->up && p->id == to && copy->type == DW_RELAY) {
                 on_entry(p, [this, p, from, copy] {
-                    rl_take(&p->r, now, from, &copy->dw_msg_u.relay);
+                    rl_receive_requests(
+                        &p->r, now, from, &copy->dw_msg_u.relay);
                 });
             }
             else if (p->up && p->id == to && copy->type == DW_RELAYED) {
                 on_entry(p, [this, p, from, copy] {
-                    rl_replies(&p->r, now, from, &copy->dw_msg_u.relayed);
+                    rl_receive_replies(
+                        &p->r, now, from, &copy->dw_msg_u.relayed);
                 });
             }
         }
@@ -688,8 +690,9 @@
         uint64_t other_id = other->id;
         after(MESSAGE_MS, [this, other, other_id, id, dark] {
             if (!dark && other->up && other->id == other_id) {
-                on_entry(other,
-                    [this, other, id] { rl_refused(&other->r, now, id); });
+                on_entry(other, [this, other, id] {
+                    rl_process_dead(&other->r, now, id);
+                });
             }
         });
     }
@@ -965,7 +968,7 @@
             c->caller = new_caller(c, nullptr);
             std::string path = std::to_string(c->id);
             if (give_part > 0 && chance() < give_part &&
-                rl_give(&e->r, now, c->caller, STR("host"),
+                rl_forward(&e->r, now, c->caller, STR("host"),
                     str_make(path.data(), path.size()), STR("body"),
                     (uint32_t)(c->deadline - now))) {
                 return;
@@ -981,7 +984,7 @@
         c->open = false;
         if (e->up && e->id == id) {
             on_entry(e, [this, e, c] {
-                if (c->caller != nullptr && !rl_drop(&e->r, c->caller)) {
+                if (c->caller != nullptr && !rl_cancel(&e->r, c->caller)) {
                     co_leave(&e->c, now, c->caller);
                 }
                 c->caller = nullptr;
@@ -992,7 +995,7 @@
 
 /* Kept to the end, as entries die with what waits in them. */
 FakeCaller *
-World::new_caller(Call *c, rl_taken *t)
+World::new_caller(Call *c, rl_accepted *t)
 {
     callers.push_back(std::make_unique<FakeCaller>(FakeCaller{c, t}));
     return callers.back().get();
--- a/test/world.hh
+++ b/test/world.hh
@@ -79,7 +79,7 @@
 /* Who waits for a job: a caller here, or another entry for one there. */
 struct FakeCaller {
     Call *call;
-    rl_taken *taken;
+    rl_accepted *taken;
 };
 
 /* One call of a caller: it may be sent again elsewhere. */
@@ -158,7 +158,7 @@
     void deliver(uint64_t from, uint64_t to, const dw_msg *m);
     void send_call(Call *c);
     void end_entry(size_t i, uint64_t for_ms, bool dark);
-    FakeCaller *new_caller(Call *c, rl_taken *t);
+    FakeCaller *new_caller(Call *c, rl_accepted *t);
     void submit_at(FakeEntry *e, Call *c, FakeCaller *who);
     void answered(Call *c, uint64_t entry_id, co_outcome how);
     void worker_tick(FakeWorker &w);
--- a/turn.c
+++ b/turn.c
@@ -53,13 +53,13 @@
     if (room->load != j->load || room->task_millicores != task) {
         room->load = j->load;
         room->task_millicores = task;
-        room->sum = fl_sum_up(&c->fleet, now, j->load->service, task);
+        room->sum = fl_total(&c->fleet, now, j->load->service, task);
     }
 }
 
 /* Millicores that it leaves free. */
 static double
-room_left(const struct fl_sum *sum, uint64_t now, const struct co_job *j)
+room_left(const struct fl_totals *sum, uint64_t now, const struct co_job *j)
 {
     enum turn turn = tn_of(j, now);
 
@@ -104,7 +104,7 @@
 }
 
 void
-tn_note_job(uint64_t now, struct co_job *j, const struct gs_guess *g)
+tn_note_job(uint64_t now, struct co_job *j, const struct es_estimate *g)
 {
     struct co_load *l = j->load;
     double work;
@@ -123,7 +123,7 @@
 /* What the jobs of one service can count on, and what of it is taken by those
  * that go before. */
 struct line {
-    struct fl_sum sum;
+    struct fl_totals sum;
     double cores; /* millicores, by usual speed */
     double work;
     double millicores;
@@ -145,9 +145,9 @@
             least = own;
         }
     }
-    line.sum = fl_sum_up(&c->fleet, now, l->service, least);
-    line.cores = (double)l->out_millicores * line.sum.pace +
-                 (double)line.sum.free + (double)line.sum.coming;
+    line.sum = fl_total(&c->fleet, now, l->service, least);
+    line.cores = (double)l->out_millicores * line.sum.mean_pace +
+                 (double)line.sum.free + (double)line.sum.recovering;
     line.cores = fmax(line.cores, LEAST_PART * (double)line.sum.capacity);
     return line;
 }
@@ -159,7 +159,7 @@
 static double
 wait_ms(const struct line *line, uint64_t now, const struct co_job *j)
 {
-    double room = (double)(line->sum.free + line->sum.coming);
+    double room = (double)(line->sum.free + line->sum.recovering);
     double ahead = line->millicores + waiting_of(j).millicores;
     double objective = (double)j->objective_ms - (double)now;
     double work;
@@ -181,7 +181,7 @@
 static bool
 fits_beside(const struct line *line, uint64_t now, const struct co_job *j)
 {
-    double room = (double)(line->sum.free + line->sum.coming);
+    double room = (double)(line->sum.free + line->sum.recovering);
 
     return room - line->millicores - waiting_of(j).millicores >=
            room_left(&line->sum, now, j);
@@ -326,15 +326,15 @@
 bool
 tn_must_tell(const struct fl_agent *a, uint64_t now, const dw_want *w)
 {
-    if (!a->live) {
+    if (!a->session_open) {
         return false;
     }
-    if ((a->want.urgent == 0) != (w->urgent == 0) ||
-        (a->want.late == 0) != (w->late == 0)) {
-        return now - a->want_ms >= WANT_SOON_MS;
+    if ((a->demand.urgent == 0) != (w->urgent == 0) ||
+        (a->demand.late == 0) != (w->late == 0)) {
+        return now - a->demand_sent_ms >= WANT_SOON_MS;
     }
-    return now - a->want_ms >= WANT_MS &&
-           (is_far(a->want.urgent, w->urgent) ||
-               is_far(a->want.pause_ms, w->pause_ms) ||
-               is_far(a->want.late, w->late) || a->want.least != w->least);
+    return now - a->demand_sent_ms >= WANT_MS &&
+           (is_far(a->demand.urgent, w->urgent) ||
+               is_far(a->demand.pause_ms, w->pause_ms) ||
+               is_far(a->demand.late, w->late) || a->demand.least != w->least);
 }
--- a/turn.h
+++ b/turn.h
@@ -36,7 +36,7 @@
 struct tn_room {
     const struct co_load *load; /* NULL: not known */
     uint32_t task_millicores;
-    struct fl_sum sum;
+    struct fl_totals sum;
 };
 
 /* Make it the room for this job's tasks. */
@@ -47,7 +47,7 @@
     const struct tn_room *room, uint64_t now, const struct co_job *j);
 
 /* A job was admitted with this guess: what comes, and how long it can wait. */
-void tn_note_job(uint64_t now, struct co_job *j, const struct gs_guess *g);
+void tn_note_job(uint64_t now, struct co_job *j, const struct es_estimate *g);
 
 /* Refuse the jobs that will not get their turn in time. */
 void tn_shed(struct coord *c, uint64_t now);
