--- a/agent.c
+++ b/agent.c
@@ -175,7 +175,7 @@
     memset(&m, 0, sizeof(m));
     m.type = DW_REPORT;
     fill_report(a, now, e, &m.dw_msg_u.report);
-    sess_stamp(&e->sess, now, &m);
+    sess_fill_head(&e->sess, now, &m);
     a->ops->send(a->ctx, e->id, &m);
 }
 
@@ -186,7 +186,7 @@
 
     e->batch = NULL;
     fill_report(a, now, e, &m->dw_msg_u.report);
-    sess_keep(&e->sess, now, m);
+    sess_enqueue(&e->sess, now, m);
     a->ops->send(a->ctx, e->id, m);
 }
 
@@ -195,8 +195,8 @@
 {
     dw_msg *m;
 
-    for (m = sess_again(&e->sess, now, NULL); m != NULL;
-         m = sess_again(&e->sess, now, m)) {
+    for (m = sess_next_resend(&e->sess, now, NULL); m != NULL;
+         m = sess_next_resend(&e->sess, now, m)) {
         /* The capacity must match the acknowledgement in the same message. */
         fill_report(a, now, e, &m->dw_msg_u.report);
         a->ops->send(a->ctx, e->id, m);
@@ -295,18 +295,18 @@
     if (o->head.session > e->newest_session) {
         begin_session(a, now, e, &o->head);
     }
-    v = sess_take(&e->sess, now, &o->head);
+    v = sess_receive(&e->sess, now, &o->head);
     if (v != SESS_DROP) {
         e->demand = o->want;
     }
-    if (v == SESS_TAKE) {
+    if (v == SESS_DELIVER) {
         if (o->groups.groups_len > 0) {
             e->offered_ms = 0;
         }
         execute_orders(a, now, e, o);
         a->runner.capacity_changed_ms = now;
     }
-    else if (e->open && e->sess.fresh_ms == 0) {
+    else if (e->open && e->sess.own_clock_echo_ms == 0) {
         send_heartbeat(a, now, e); /* so that the entry learns our clock */
     }
 }
@@ -326,7 +326,8 @@
 static uint64_t
 last_alive(const struct ag_entry *e)
 {
-    return e->sess.fresh_ms != 0 ? e->sess.fresh_ms : e->opened_ms;
+    return e->sess.own_clock_echo_ms != 0 ? e->sess.own_clock_echo_ms
+                                          : e->opened_ms;
 }
 
 static void
@@ -343,7 +344,7 @@
         return;
     }
     resend(a, now, e);
-    if (sess_beat_due(&e->sess, now)) {
+    if (sess_heartbeat_due(&e->sess, now)) {
         send_heartbeat(a, now, e);
     }
 }
@@ -368,7 +369,8 @@
 static bool
 outcomes_due(const struct ag_entry *e, uint64_t now)
 {
-    return now - e->sess.sent_ms >= e->demand.pause_ms / AG_OUTCOMES_DIVISOR;
+    return now - e->sess.last_sent_ms >=
+           e->demand.pause_ms / AG_OUTCOMES_DIVISOR;
 }
 
 /* While much capacity is free, its changes hardly affect placement. */
@@ -384,7 +386,7 @@
     int64_t free_millicores = current_free(a, now);
     uint32_t pause = is_scarce(a, free_millicores)
                          ? AG_CAPACITY_MS_PER_ENTRY * a->open_count
-                         : SESS_BEAT_MS;
+                         : SESS_HEARTBEAT_MS;
     struct ag_entry *e;
 
     for (e = a->entries; e != NULL; e = e->hh.next) {
@@ -397,8 +399,8 @@
             }
         }
         else if (must_notify(a, e, now, free_millicores) ||
-                 (a->runner.capacity_changed_ms >= e->sess.sent_ms &&
-                     now - e->sess.sent_ms >=
+                 (a->runner.capacity_changed_ms >= e->sess.last_sent_ms &&
+                     now - e->sess.last_sent_ms >=
                          num_max(pause, e->demand.pause_ms))) {
             send_heartbeat(a, now, e);
         }
--- a/test/agent-test.cc
+++ b/test/agent-test.cc
@@ -231,13 +231,13 @@
 
     s.set_free(9000);
     s.heartbeat(1);
-    s.now += SESS_BEAT_MS;
+    s.now += SESS_HEARTBEAT_MS;
     s.flush();
     s.set_free(8000);
     s.now += 2 * AG_CAPACITY_MS_PER_ENTRY;
     s.flush();
     EXPECT_EQ(s.reported(1), -1);
-    s.now += SESS_BEAT_MS;
+    s.now += SESS_HEARTBEAT_MS;
     s.flush();
     EXPECT_EQ(s.reported(1), 8000);
     s.now++;
@@ -254,7 +254,7 @@
 
     s.set_free(3000);
     s.heartbeat(1, {0, 0, 0, 100});
-    s.now += SESS_BEAT_MS;
+    s.now += SESS_HEARTBEAT_MS;
     s.flush();
     s.now++;
     s.set_free(2000);
