--- a/Makefile
+++ b/Makefile
@@ -12,7 +12,7 @@
 LDFLAGS = $(SAN)
 
 # Deciding modules: no I/O, no clock, no state of their own.
-DECIDE = str err act subkey contract view member sync place host job jobadmit jobmove \
+DECIDE = str err act subkey contract view member sync place host job jobadmit jobhandover \
 	lend own ownmap front node route sess fleet coord runner agent news guess slack inflow rank turn intake lag relay
 # What carries their actions out.
 IO = log hist proc base64 httpc store frame link web trail back carry api ops metric serve \
--- a/carry.c
+++ b/carry.c
@@ -83,7 +83,7 @@
 static void
 do_start(struct daemon *d, struct act *a)
 {
-    const struct host_run *r = host_find(&d->node.host, a->ref);
+    const struct host_run *r = host_find_run(&d->node.host, a->ref);
 
     if (r != NULL) {
         back_run(d->back, r);
--- a/conf.c
+++ b/conf.c
@@ -144,7 +144,7 @@
     NUMBER("members.period_ms", node.mbr.period_ms, 50, 60000),
     NUMBER("members.timeout_ms", node.mbr.timeout_ms, 10, 60000),
     NUMBER("members.suspect_ms", node.mbr.suspect_ms, 100, 600000),
-    NUMBER("jobs.window_ms", node.job.record_ms, 1000, 86400000),
+    NUMBER("jobs.window_ms", node.job.retention_ms, 1000, 86400000),
     NUMBER("jobs.refuse_ms", node.job.refuse_ms, 1000, 600000),
     NUMBER("jobs.max_age_ms", node.job.max_age_ms, 100, 600000),
     NUMBER("jobs.waiting", node.job.waiting_max, 1, 10000000),
@@ -350,8 +350,8 @@
     if (n->me.rack[0] == '\0') {
         memcpy(n->me.rack, n->me.name, sizeof(n->me.rack));
     }
-    n->host.record_ms = n->job.record_ms;
-    n->own.record_ms = n->job.record_ms;
+    n->host.retention_ms = n->job.retention_ms;
+    n->own.retention_ms = n->job.retention_ms;
     n->own.quiet_ms = n->sync.fresh_ms + 500;
     n->lend.settle_ms = n->sync.fresh_ms + 500;
     n->me.slots = n->host.slots;
--- a/host.c
+++ b/host.c
@@ -36,7 +36,7 @@
 free_rec(struct host *h, struct host_rec *rec)
 {
     HASH_DEL(h->recs, rec);
-    free(rec->marks);
+    free(rec->tasks);
     free(rec);
 }
 
@@ -58,8 +58,8 @@
     HASH_ITER (hh, h->recs, rec, rect) {
         free_rec(h, rec);
     }
-    HASH_ITER (hh, h->custs, c, ct) {
-        HASH_DEL(h->custs, c);
+    HASH_ITER (hh, h->customers, c, ct) {
+        HASH_DEL(h->customers, c);
         free(c);
     }
     HASH_ITER (hh, h->kinds, k, kt) {
@@ -69,7 +69,7 @@
 }
 
 const struct host_run *
-host_find(const struct host *h, uint64_t ref)
+host_find_run(const struct host *h, uint64_t ref)
 {
     struct host_run *r;
 
@@ -80,7 +80,7 @@
 static struct host_run *
 find_run(struct host *h, uint64_t ref)
 {
-    return (struct host_run *)host_find(h, ref);
+    return (struct host_run *)host_find_run(h, ref);
 }
 
 static struct host_rec *
@@ -94,7 +94,7 @@
 
 /* Records lie in the order of their last use, so the oldest are in front. */
 static struct host_rec *
-touch_rec(struct host *h, uint64_t now, const struct subkey *sk,
+use_rec(struct host *h, uint64_t now, const struct subkey *sk,
     uint32_t partition, uint32_t count)
 {
     struct host_rec *rec = find_rec(h, sk);
@@ -103,42 +103,42 @@
         rec = dw_zero(1, sizeof(*rec));
         rec->sk = *sk;
         rec->partition = partition;
-        rec->count = count;
+        rec->job_task_count = count;
     }
     else {
         HASH_DEL(h->recs, rec);
     }
-    rec->last_ms = now;
+    rec->last_used_ms = now;
     HASH_ADD_KEYPTR(hh, h->recs, rec->sk.p, rec->sk.n, rec);
     return rec;
 }
 
-static struct host_mark *
-find_mark(struct host_rec *rec, uint32_t index)
+static struct host_task_rec *
+find_task_rec(struct host_rec *rec, uint32_t index)
 {
-    for (size_t i = 0; i < rec->mark_count; i++) {
-        if (rec->marks[i].index == index) {
-            return &rec->marks[i];
+    for (size_t i = 0; i < rec->task_rec_count; i++) {
+        if (rec->tasks[i].index == index) {
+            return &rec->tasks[i];
         }
     }
     return NULL;
 }
 
-static struct host_mark *
-add_mark(struct host_rec *rec, uint32_t index)
+static struct host_task_rec *
+add_task_rec(struct host_rec *rec, uint32_t index)
 {
-    struct host_mark *m;
+    struct host_task_rec *m;
 
-    rec->marks =
-        dw_grow(rec->marks, (rec->mark_count + 1) * sizeof(rec->marks[0]));
-    m = &rec->marks[rec->mark_count++];
+    rec->tasks =
+        dw_grow(rec->tasks, (rec->task_rec_count + 1) * sizeof(rec->tasks[0]));
+    m = &rec->tasks[rec->task_rec_count++];
     memset(m, 0, sizeof(*m));
     m->index = index;
     return m;
 }
 
 static struct host_run *
-run_of(struct host *h, const struct host_rec *rec, uint32_t index)
+find_task_run(struct host *h, const struct host_rec *rec, uint32_t index)
 {
     struct host_run *r;
 
@@ -151,9 +151,9 @@
 }
 
 static void
-mark_state(struct host_run *r, dw_tstate state)
+set_run_state(struct host_run *r, dw_tstate state)
 {
-    struct host_mark *m = find_mark(r->rec, r->task.index);
+    struct host_task_rec *m = find_task_rec(r->rec, r->task.index);
 
     r->state = state;
     if (m != NULL && m->attempt == r->attempt) {
@@ -201,15 +201,15 @@
 /* --- customers and their queues --- */
 
 static struct host_cust *
-customer(struct host *h, struct str name)
+get_customer(struct host *h, struct str name)
 {
     struct host_cust *c;
 
-    HASH_FIND(hh, h->custs, name.p, name.n, c);
+    HASH_FIND(hh, h->customers, name.p, name.n, c);
     if (c == NULL) {
         c = dw_zero(1, sizeof(*c));
         str_copy(c->name, sizeof(c->name), name);
-        HASH_ADD_KEYPTR(hh, h->custs, c->name, name.n, c);
+        HASH_ADD_KEYPTR(hh, h->customers, c->name, name.n, c);
     }
     return c;
 }
@@ -259,7 +259,7 @@
 /* --- what tasks use --- */
 
 static struct host_kind *
-kind(struct host *h, struct str name, bool add)
+get_kind(struct host *h, struct str name, bool add)
 {
     struct str cut = name;
     struct host_kind *k;
@@ -277,7 +277,7 @@
 }
 
 static uint32_t
-follow(uint32_t old, uint32_t seen, uint32_t n)
+update_usage(uint32_t old, uint32_t seen, uint32_t n)
 {
     /* Up at once, down slowly: too small a guess overloads the worker. */
     if (n == 0 || seen > old) {
@@ -287,22 +287,22 @@
 }
 
 void
-host_usage(
+host_task_usage(
     struct host *h, struct str name, uint32_t millicores, uint32_t memory_mb)
 {
-    struct host_kind *k = kind(h, name, true);
+    struct host_kind *k = get_kind(h, name, true);
 
-    k->millicores = follow(k->millicores, millicores, k->seen);
-    k->memory_mb = follow(k->memory_mb, memory_mb, k->seen);
-    k->seen++;
+    k->millicores = update_usage(k->millicores, millicores, k->samples);
+    k->memory_mb = update_usage(k->memory_mb, memory_mb, k->samples);
+    k->samples++;
 }
 
 /* The worker starts what it is given, so the agent alone keeps it whole.  A
  * kind that outgrew the worker still runs, with the worker to itself. */
 static void
-count_use(struct host *h, struct host_run *r)
+set_run_usage(struct host *h, struct host_run *r)
 {
-    const struct host_kind *k = kind(h, str_bytes(&r->task.kind), false);
+    const struct host_kind *k = get_kind(h, str_bytes(&r->task.kind), false);
 
     r->millicores = r->task.millicores;
     r->memory_mb = r->task.memory_mb;
@@ -344,17 +344,17 @@
 }
 
 static void
-end_run(struct host *h, uint64_t now, struct host_run *r, dw_tstate state,
+finish_run(struct host *h, uint64_t now, struct host_run *r, dw_tstate state,
     uint32_t code, struct str body, struct acts *out)
 {
-    mark_state(r, state);
+    set_run_state(r, state);
     r->outcome.index = r->task.index;
     r->outcome.state = state;
     r->outcome.code = code;
     r->outcome.ran_ms =
         r->started_ms > 0 ? (uint32_t)(now - r->started_ms) : 0;
     r->outcome.body = str_to_bytes(body);
-    r->rec->last_ms = now;
+    r->rec->last_used_ms = now;
     act_note(out, sk_customer(&r->rec->sk), sk_key(&r->rec->sk),
         "host: task %u attempt %u ended in state %d, code %u, after %u ms",
         r->task.index, r->attempt, (int)state, code, r->outcome.ran_ms);
@@ -362,15 +362,15 @@
 }
 
 static void
-give_back(struct host *h, uint64_t now, struct host_run *r, struct acts *out)
+release_run(struct host *h, uint64_t now, struct host_run *r, struct acts *out)
 {
     dequeue(h, r);
     h->stats.released++;
-    end_run(h, now, r, DW_T_NOT_STARTED, 0, STR(""), out);
+    finish_run(h, now, r, DW_T_NOT_STARTED, 0, STR(""), out);
 }
 
 void
-host_acked(struct host *h, const dw_result_ack *ack)
+host_result_acked(struct host *h, const dw_result_ack *ack)
 {
     for (u_int i = 0; i < ack->refs.refs_len; i++) {
         struct host_run *r = find_run(h, ack->refs.refs_val[i]);
@@ -389,9 +389,9 @@
     struct host_cust *c = r->cust;
 
     dequeue(h, r);
-    mark_state(r, DW_T_RUNNING);
+    set_run_state(r, DW_T_RUNNING);
     r->started_ms = now;
-    r->rec->last_ms = now;
+    r->rec->last_used_ms = now;
     c->running++;
     c->vtime += VTIME_UNIT / weight(h, c);
     h->vtime = c->vtime;
@@ -413,7 +413,7 @@
 
     DL_FOREACH_SAFE (c->queue, r, tmp) {
         if (now >= r->deadline_ms) {
-            give_back(h, now, r, out);
+            release_run(h, now, r, out);
         }
     }
 }
@@ -452,13 +452,13 @@
 }
 
 static struct host_run *
-choose(struct host *h, uint64_t now, struct acts *out)
+next_run(struct host *h, uint64_t now, struct acts *out)
 {
     struct host_cust *c;
     struct host_run *best = NULL;
     bool blocked = false;
 
-    for (c = h->custs; c != NULL; c = c->hh.next) {
+    for (c = h->customers; c != NULL; c = c->hh.next) {
         struct host_run *r;
 
         expire_queue(h, now, c, out);
@@ -481,7 +481,7 @@
 {
     while (h->may_start && h->serving && h->queued > 0 &&
            h->busy < h->cfg.slots) {
-        struct host_run *r = choose(h, now, out);
+        struct host_run *r = next_run(h, now, out);
 
         if (r == NULL) {
             return;
@@ -508,8 +508,8 @@
     r->state = DW_T_QUEUED;
     r->queued_ms = now;
     r->deadline_ms = now + offer->deadline_ms;
-    r->cust = customer(h, sk_customer(&rec->sk));
-    count_use(h, r);
+    r->cust = get_customer(h, sk_customer(&rec->sk));
+    set_run_usage(h, r);
     HASH_ADD(hh, h->runs, ref, sizeof(r->ref), r);
     enqueue(h, r);
 }
@@ -521,23 +521,23 @@
  * attempt, so that a late copy of the first offer cannot start it.
  */
 static dw_tstate
-take_item(struct host *h, uint64_t now, struct host_rec *rec,
+accept_item(struct host *h, uint64_t now, struct host_rec *rec,
     const dw_offer *offer, const dw_offer_item *item)
 {
-    struct host_mark *m = find_mark(rec, item->task.index);
+    struct host_task_rec *m = find_task_rec(rec, item->task.index);
 
     if (m != NULL && !h->cfg.no_records &&
         (m->state != DW_T_NOT_STARTED || item->attempt <= m->attempt)) {
-        h->stats.refused_again++;
+        h->stats.refused_duplicate++;
         return m->state;
     }
     if (m == NULL) {
-        m = add_mark(rec, item->task.index);
+        m = add_task_rec(rec, item->task.index);
     }
     m->attempt = item->attempt;
     if (!h->serving ||
         (h->queued >= h->cfg.queue_max &&
-            !below_guarantee(h, customer(h, sk_customer(&rec->sk))))) {
+            !below_guarantee(h, get_customer(h, sk_customer(&rec->sk))))) {
         m->state = DW_T_NOT_STARTED;
         h->stats.refused_full++;
         return m->state;
@@ -548,7 +548,7 @@
 }
 
 static dw_offered *
-reply(struct host *h, uint64_t to, dw_mtype type, uint32_t partition,
+begin_reply(struct host *h, uint64_t to, dw_mtype type, uint32_t partition,
     uint64_t epoch, const struct subkey *sk, u_int marks, struct acts *out)
 {
     /* DW_OFFERED and DW_REVOKED share one layout. */
@@ -588,34 +588,35 @@
         return;
     }
     h->epochs[offer->partition] = offer->epoch;
-    rec = touch_rec(h, now, &sk, offer->partition, offer->count);
-    o = reply(h, from, DW_OFFERED, offer->partition, offer->epoch, &sk,
+    rec = use_rec(h, now, &sk, offer->partition, offer->count);
+    o = begin_reply(h, from, DW_OFFERED, offer->partition, offer->epoch, &sk,
         offer->items.items_len, out);
     for (u_int i = 0; i < offer->items.items_len; i++) {
         const dw_offer_item *item = &offer->items.items_val[i];
 
         o->marks.marks_val[i].index = item->task.index;
         o->marks.marks_val[i].attempt = item->attempt;
-        o->marks.marks_val[i].state = take_item(h, now, rec, offer, item);
+        o->marks.marks_val[i].state = accept_item(h, now, rec, offer, item);
     }
     dispatch(h, now, out);
     host_load(h, &o->load);
 }
 
 static dw_tstate
-revoke_one(struct host *h, uint64_t now, struct host_rec *rec,
+revoke_task(struct host *h, uint64_t now, struct host_rec *rec,
     const dw_mark *want, bool stop, struct acts *out)
 {
-    struct host_mark *m = rec != NULL ? find_mark(rec, want->index) : NULL;
+    struct host_task_rec *m =
+        rec != NULL ? find_task_rec(rec, want->index) : NULL;
     struct host_run *r;
 
     if (m == NULL || m->attempt < want->attempt) {
         return DW_T_WAITING;
     }
-    r = run_of(h, rec, want->index);
+    r = find_task_run(h, rec, want->index);
     if (r != NULL && r->state == DW_T_QUEUED && m->attempt == want->attempt) {
         dequeue(h, r);
-        mark_state(r, DW_T_NOT_STARTED);
+        set_run_state(r, DW_T_NOT_STARTED);
         free_run(h, r);
         h->stats.released++;
     }
@@ -630,12 +631,12 @@
 /* A revoke may pass the offer it is about on another connection; the offer
  * must then not start the task when it comes. */
 static dw_tstate
-forbid(struct host_rec *rec, const dw_mark *want)
+block_offer(struct host_rec *rec, const dw_mark *want)
 {
-    struct host_mark *m = find_mark(rec, want->index);
+    struct host_task_rec *m = find_task_rec(rec, want->index);
 
     if (m == NULL) {
-        m = add_mark(rec, want->index);
+        m = add_task_rec(rec, want->index);
     }
     m->attempt = want->attempt;
     m->state = DW_T_NOT_STARTED;
@@ -658,16 +659,16 @@
         h->stats.refused_epoch++;
         return;
     }
-    rec = touch_rec(h, now, &sk, revoke->partition, 0);
-    o = reply(h, from, DW_REVOKED, revoke->partition, revoke->epoch, &sk,
+    rec = use_rec(h, now, &sk, revoke->partition, 0);
+    o = begin_reply(h, from, DW_REVOKED, revoke->partition, revoke->epoch, &sk,
         revoke->marks.marks_len, out);
     for (u_int i = 0; i < revoke->marks.marks_len; i++) {
         const dw_mark *want = &revoke->marks.marks_val[i];
-        dw_tstate st = revoke_one(h, now, rec, want, revoke->stop, out);
+        dw_tstate st = revoke_task(h, now, rec, want, revoke->stop, out);
 
         o->marks.marks_val[i] = *want;
         o->marks.marks_val[i].state =
-            st == DW_T_WAITING ? forbid(rec, want) : st;
+            st == DW_T_WAITING ? block_offer(rec, want) : st;
     }
     dispatch(h, now, out);
     host_load(h, &o->load);
@@ -686,7 +687,7 @@
         if (r->rec->partition == partition && r->epoch < epoch &&
             r->state == DW_T_QUEUED) {
             dequeue(h, r);
-            mark_state(r, DW_T_NOT_STARTED);
+            set_run_state(r, DW_T_NOT_STARTED);
             free_run(h, r);
             h->stats.released++;
         }
@@ -699,14 +700,14 @@
     out->partition = rec->partition;
     out->customer = str_to_bytes(sk_customer(&rec->sk));
     out->key = str_to_bytes(sk_key(&rec->sk));
-    out->count = rec->count;
-    out->age_ms = (uint32_t)(now - rec->last_ms);
-    out->marks.marks_val = dw_zero(rec->mark_count, sizeof(dw_mark));
-    out->marks.marks_len = (u_int)rec->mark_count;
-    for (size_t i = 0; i < rec->mark_count; i++) {
-        out->marks.marks_val[i].index = rec->marks[i].index;
-        out->marks.marks_val[i].attempt = rec->marks[i].attempt;
-        out->marks.marks_val[i].state = rec->marks[i].state;
+    out->count = rec->job_task_count;
+    out->age_ms = (uint32_t)(now - rec->last_used_ms);
+    out->marks.marks_val = dw_zero(rec->task_rec_count, sizeof(dw_mark));
+    out->marks.marks_len = (u_int)rec->task_rec_count;
+    for (size_t i = 0; i < rec->task_rec_count; i++) {
+        out->marks.marks_val[i].index = rec->tasks[i].index;
+        out->marks.marks_val[i].attempt = rec->tasks[i].attempt;
+        out->marks.marks_val[i].state = rec->tasks[i].state;
     }
 }
 
@@ -755,7 +756,7 @@
 /* --- ends and time --- */
 
 static void
-note_error(struct host *h, bool error)
+update_error_rate(struct host *h, bool error)
 {
     uint32_t sample = error ? 1000 : 0;
 
@@ -764,7 +765,7 @@
 }
 
 void
-host_ended(struct host *h, uint64_t now, uint64_t ref, dw_tstate state,
+host_task_ended(struct host *h, uint64_t now, uint64_t ref, dw_tstate state,
     uint32_t code, struct str body, struct acts *out)
 {
     struct host_run *r = find_run(h, ref);
@@ -781,9 +782,9 @@
         h->stats.started--;
     }
     if (state != DW_T_STOPPED) {
-        note_error(h, state != DW_T_DONE);
+        update_error_rate(h, state != DW_T_DONE);
     }
-    end_run(h, now, r, state, code, body, out);
+    finish_run(h, now, r, state, code, body, out);
     dispatch(h, now, out);
 }
 
@@ -795,13 +796,13 @@
 
     HASH_ITER (hh, h->runs, r, tmp) {
         if (r->state == DW_T_QUEUED) {
-            give_back(h, now, r, out);
+            release_run(h, now, r, out);
         }
     }
 }
 
 void
-host_serving(struct host *h, uint64_t now, bool serving, uint32_t slots,
+host_set_serving(struct host *h, uint64_t now, bool serving, uint32_t slots,
     struct acts *out)
 {
     h->serving = serving;
@@ -815,7 +816,7 @@
 }
 
 static void
-resend(struct host *h, uint64_t now, struct acts *out)
+resend_results(struct host *h, uint64_t now, struct acts *out)
 {
     struct host_run *r;
     struct host_run *tmp;
@@ -825,7 +826,7 @@
             now - r->sent_ms < h->cfg.resend_ms) {
             continue;
         }
-        if (now - r->rec->last_ms >= h->cfg.record_ms) {
+        if (now - r->rec->last_used_ms >= h->cfg.retention_ms) {
             free_run(h, r);
             continue;
         }
@@ -848,13 +849,13 @@
 }
 
 static void
-forget(struct host *h, uint64_t now)
+remove_expired_recs(struct host *h, uint64_t now)
 {
     struct host_rec *rec;
     struct host_rec *tmp;
 
     HASH_ITER (hh, h->recs, rec, tmp) {
-        if (now - rec->last_ms < h->cfg.record_ms) {
+        if (now - rec->last_used_ms < h->cfg.retention_ms) {
             return;
         }
         if (!rec_in_use(h, rec)) {
@@ -867,10 +868,10 @@
 host_tick(struct host *h, uint64_t now, struct acts *out)
 {
     dispatch(h, now, out);
-    if (now - h->scanned_ms < 50) {
+    if (now - h->last_scan_ms < 50) {
         return;
     }
-    h->scanned_ms = now;
-    resend(h, now, out);
-    forget(h, now);
+    h->last_scan_ms = now;
+    resend_results(h, now, out);
+    remove_expired_recs(h, now);
 }
--- a/host.h
+++ b/host.h
@@ -27,16 +27,16 @@
     uint32_t slots;
     uint32_t millicores;
     uint32_t memory_mb;
-    uint32_t queue_max;  /* tasks waiting here */
-    uint32_t record_ms;  /* W: how long start records are kept */
-    uint32_t resend_ms;  /* until a result is acknowledged */
-    uint32_t bypass_ms;  /* a larger task may be passed over this long */
-    bool trust_declared; /* do not learn sizes; to compare with */
-    bool no_records;     /* tests only: what the start records are for */
-    bool no_epochs;      /* tests only: what the epochs are for */
+    uint32_t queue_max;    /* tasks waiting here */
+    uint32_t retention_ms; /* W: how long start records are kept */
+    uint32_t resend_ms;    /* until a result is acknowledged */
+    uint32_t bypass_ms;    /* a larger task may be passed over this long */
+    bool trust_declared;   /* do not learn sizes; to compare with */
+    bool no_records;       /* tests only: what the start records are for */
+    bool no_epochs;        /* tests only: what the epochs are for */
 };
 
-struct host_mark {
+struct host_task_rec {
     uint32_t index;
     uint32_t attempt;
     dw_tstate state;
@@ -46,10 +46,10 @@
 struct host_rec {
     struct subkey sk;
     uint32_t partition;
-    uint32_t count; /* tasks of the whole job */
-    uint64_t last_ms;
-    struct host_mark *marks;
-    size_t mark_count;
+    uint32_t job_task_count; /* tasks of the whole job */
+    uint64_t last_used_ms;
+    struct host_task_rec *tasks;
+    size_t task_rec_count;
     UT_hash_handle hh;
 };
 
@@ -91,15 +91,15 @@
     uint32_t millicores;
     uint32_t memory_mb;
     uint32_t run_ms;
-    uint32_t seen;
+    uint32_t samples;
     UT_hash_handle hh;
 };
 
 struct host_stats {
     uint64_t started;
     uint64_t ended;
-    uint64_t refused_again; /* offers of a task already recorded */
-    uint64_t refused_epoch; /* offers under an old epoch */
+    uint64_t refused_duplicate; /* offers of a task already recorded */
+    uint64_t refused_epoch;     /* offers under an old epoch */
     uint64_t refused_full;
     uint64_t released; /* queued tasks given back unstarted */
     uint64_t resent;
@@ -114,7 +114,7 @@
     uint64_t announced_ms; /* when it last said so; 0: never */
     struct host_rec *recs;
     struct host_run *runs;
-    struct host_cust *custs;
+    struct host_cust *customers;
     struct host_kind *kinds;
     uint64_t epochs[VIEW_PARTS];
     uint32_t busy;
@@ -124,7 +124,7 @@
     uint32_t error_permille;
     uint64_t vtime;
     uint64_t fleet_slots;
-    uint64_t scanned_ms;
+    uint64_t last_scan_ms;
     struct host_stats stats;
 };
 
@@ -139,18 +139,18 @@
     const dw_revoke *revoke, struct acts *out);
 void host_fence(struct host *h, uint64_t now, uint64_t from,
     const dw_fence *fence, struct acts *out);
-void host_acked(struct host *h, const dw_result_ack *ack);
+void host_result_acked(struct host *h, const dw_result_ack *ack);
 
 /* The backend server has ended a task: DONE, ERROR, STOPPED, UNKNOWN, or
  * NOT_STARTED when it is certain that the request never left. */
-void host_ended(struct host *h, uint64_t now, uint64_t ref, dw_tstate state,
-    uint32_t code, struct str body, struct acts *out);
+void host_task_ended(struct host *h, uint64_t now, uint64_t ref,
+    dw_tstate state, uint32_t code, struct str body, struct acts *out);
 /* What a task was seen to use; reports lag behind its end. */
-void host_usage(
+void host_task_usage(
     struct host *h, struct str kind, uint32_t millicores, uint32_t memory_mb);
 /* The backend server announces itself or leaves. */
-void host_serving(struct host *h, uint64_t now, bool serving, uint32_t slots,
-    struct acts *out);
+void host_set_serving(struct host *h, uint64_t now, bool serving,
+    uint32_t slots, struct acts *out);
 /* Give every task not started back to its owner. */
 void host_release(struct host *h, uint64_t now, struct acts *out);
 /* Start what fits, resend results, forget old records. */
@@ -159,7 +159,7 @@
 void host_view_changed(struct host *h);
 
 /* Queries. */
-const struct host_run *host_find(const struct host *h, uint64_t ref);
+const struct host_run *host_find_run(const struct host *h, uint64_t ref);
 void host_load(const struct host *h, dw_load *load);
 /* Tasks queued or running, and results not acknowledged. */
 size_t host_pending(const struct host *h);
--- a/job.c
+++ b/job.c
@@ -7,7 +7,7 @@
 #include <utlist.h>
 
 /* Tasks placed for one customer before the next has its turn. */
-#define QUANTUM 64
+#define QUANTUM_TASKS 64
 #define VTIME_UNIT 1000000U
 #define SCAN_MS 50
 #define RATE_WINDOW_MS 500
@@ -26,20 +26,20 @@
 static void
 free_results(struct jobs *j, struct job *job)
 {
-    for (uint32_t i = 0; i < job->count; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         free(job->tasks[i].outcome.body.dw_bytes_val);
         job->tasks[i].outcome.body.dw_bytes_val = NULL;
         job->tasks[i].outcome.body.dw_bytes_len = 0;
     }
-    j->kept -= job->bytes;
-    job->bytes = 0;
-    job->kept = false;
+    j->kept_bytes -= job->answer_bytes;
+    job->answer_bytes = 0;
+    job->answer_kept = false;
 }
 
 static void
 free_inputs(struct job *job)
 {
-    for (uint32_t i = 0; i < job->count; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         xdr_free((xdrproc_t)xdr_dw_task, &job->tasks[i].task);
         memset(&job->tasks[i].task, 0, sizeof(job->tasks[i].task));
         job->tasks[i].task.index = i;
@@ -47,18 +47,18 @@
 }
 
 static void
-unlist(struct jobs *j, struct job *job)
+detach_from_customer(struct jobs *j, struct job *job)
 {
     if (job->cust == NULL) {
         return;
     }
-    for (uint32_t i = 0; i < job->count; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         if (job->tasks[i].outcome.state == DW_T_OFFERED) {
-            place_settled(j->place, job->tasks[i].host, 1);
+            place_offer_settled(j->place, job->tasks[i].host, 1);
         }
     }
     DL_DELETE(job->cust->jobs, job);
-    job->cust->out -= job->out;
+    job->cust->outstanding -= job->outstanding;
     j->waiting -= job->waiting;
     job->cust = NULL;
 }
@@ -70,7 +70,7 @@
     struct job_waiter *tmp;
 
     HASH_DEL(j->jobs, job);
-    unlist(j, job);
+    detach_from_customer(j, job);
     free_results(j, job);
     free_inputs(job);
     LL_FOREACH_SAFE (job->waiters, w, tmp) {
@@ -91,8 +91,8 @@
     HASH_ITER (hh, j->jobs, job, tmp) {
         job_free(j, job);
     }
-    HASH_ITER (hh, j->custs, c, ct) {
-        HASH_DEL(j->custs, c);
+    HASH_ITER (hh, j->customers, c, ct) {
+        HASH_DEL(j->customers, c);
         free(c);
     }
 }
@@ -119,7 +119,7 @@
     job->sk = *sk;
     job->partition = partition;
     job->admitted_ms = now;
-    job->count = count;
+    job->task_count = count;
     job->tasks = dw_zero(count, sizeof(job->tasks[0]));
     for (uint32_t i = 0; i < count; i++) {
         job->tasks[i].task.index = i;
@@ -130,15 +130,15 @@
 }
 
 struct job_cust *
-job_customer(struct jobs *j, struct str name)
+job_get_customer(struct jobs *j, struct str name)
 {
     struct job_cust *c;
 
-    HASH_FIND(hh, j->custs, name.p, name.n, c);
+    HASH_FIND(hh, j->customers, name.p, name.n, c);
     if (c == NULL) {
         c = dw_zero(1, sizeof(*c));
         str_copy(c->name, sizeof(c->name), name);
-        HASH_ADD_KEYPTR(hh, j->custs, c->name, name.n, c);
+        HASH_ADD_KEYPTR(hh, j->customers, c->name, name.n, c);
     }
     return c;
 }
@@ -149,7 +149,7 @@
     const struct job_cust *c;
     size_t n = 0;
 
-    for (c = j->custs; c != NULL; c = c->hh.next) {
+    for (c = j->customers; c != NULL; c = c->hh.next) {
         const struct job *job;
         size_t k;
 
@@ -162,14 +162,14 @@
 /* --- answers --- */
 
 bool
-job_is_final(dw_tstate st)
+job_state_is_final(dw_tstate st)
 {
     return st == DW_T_DONE || st == DW_T_ERROR || st == DW_T_NOT_STARTED ||
            st == DW_T_UNKNOWN || st == DW_T_STOPPED;
 }
 
 bool
-job_is_out(dw_tstate st)
+job_state_is_outstanding(dw_tstate st)
 {
     return st == DW_T_OFFERED || st == DW_T_QUEUED || st == DW_T_RUNNING;
 }
@@ -179,11 +179,11 @@
 static void
 fill_outcomes(const struct job *job, dw_answer *a)
 {
-    bool whole = job->state == DW_A_COMPLETE && job->kept;
+    bool whole = job->state == DW_A_COMPLETE && job->answer_kept;
 
-    a->tasks.tasks_val = dw_zero(job->count, sizeof(dw_outcome));
-    a->tasks.tasks_len = job->count;
-    for (uint32_t i = 0; i < job->count; i++) {
+    a->tasks.tasks_val = dw_zero(job->task_count, sizeof(dw_outcome));
+    a->tasks.tasks_len = job->task_count;
+    for (uint32_t i = 0; i < job->task_count; i++) {
         dw_outcome *o = &a->tasks.tasks_val[i];
 
         *o = job->tasks[i].outcome;
@@ -209,8 +209,8 @@
 }
 
 void
-job_answer(const struct job *job, uint64_t now, uint64_t to, uint64_t request,
-    struct acts *out)
+job_answer_request(const struct job *job, uint64_t now, uint64_t to,
+    uint64_t request, struct acts *out)
 {
     dw_astate state = job->state;
     const char *reason = job->reason;
@@ -218,9 +218,9 @@
     dw_answer *a;
 
     if (job->refused) {
-        retry = job->lapses_ms > now ? (uint32_t)(job->lapses_ms - now) : 1;
+        retry = job->expires_ms > now ? (uint32_t)(job->expires_ms - now) : 1;
     }
-    if (state == DW_A_COMPLETE && !job->kept) {
+    if (state == DW_A_COMPLETE && !job->answer_kept) {
         state = DW_A_FAILED;
         reason = "answer_dropped";
     }
@@ -239,7 +239,7 @@
     struct job_waiter *tmp;
 
     LL_FOREACH_SAFE (job->waiters, w, tmp) {
-        job_answer(job, now, w->entry, w->request, out);
+        job_answer_request(job, now, w->entry, w->request, out);
         LL_DELETE(job->waiters, w);
         free(w);
     }
@@ -267,30 +267,30 @@
 /* --- ends --- */
 
 static dw_astate
-verdict(const struct job *job)
+final_state(const struct job *job)
 {
     uint32_t done = 0;
     uint32_t unstarted = 0;
 
-    for (uint32_t i = 0; i < job->count; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         done += job->tasks[i].outcome.state == DW_T_DONE;
         unstarted += job->tasks[i].outcome.state == DW_T_NOT_STARTED;
     }
-    if (done == job->count) {
+    if (done == job->task_count) {
         return DW_A_COMPLETE;
     }
-    return unstarted == job->count ? DW_A_NOT_RUN : DW_A_FAILED;
+    return unstarted == job->task_count ? DW_A_NOT_RUN : DW_A_FAILED;
 }
 
 /* Make room by dropping the oldest kept answers; their jobs stay known. */
 void
-job_trim_kept(struct jobs *j)
+job_trim_answers(struct jobs *j)
 {
     struct job *job;
 
-    for (job = j->jobs; job != NULL && j->kept > j->cfg.kept_bytes;
+    for (job = j->jobs; job != NULL && j->kept_bytes > j->cfg.kept_bytes_max;
          job = job->hh.next) {
-        if (job->kept) {
+        if (job->answer_kept) {
             free_results(j, job);
         }
     }
@@ -305,7 +305,7 @@
 }
 
 static void
-count_end(struct jobs *j, dw_astate state)
+count_final_state(struct jobs *j, dw_astate state)
 {
     if (state == DW_A_COMPLETE) {
         j->stats.complete++;
@@ -319,53 +319,53 @@
 }
 
 static void
-end_job(struct jobs *j, uint64_t now, struct job *job, struct acts *out)
+finish_job(struct jobs *j, uint64_t now, struct job *job, struct acts *out)
 {
-    unlist(j, job);
-    job->out = 0;
+    detach_from_customer(j, job);
+    job->outstanding = 0;
     job->waiting = 0;
-    job->state = verdict(job);
+    job->state = final_state(job);
     if (job->state == DW_A_NOT_RUN && !j->may_admit) {
         /* A new owner may have run this key meanwhile; see own.h. */
         job->state = DW_A_UNKNOWN;
         job_set_reason(job, "not_fresh");
     }
     job->ended_ms = now;
-    job->lapses_ms = now + j->cfg.record_ms;
-    job->kept = job->state == DW_A_COMPLETE;
-    if (job->bytes > j->cfg.answer_bytes) {
+    job->expires_ms = now + j->cfg.retention_ms;
+    job->answer_kept = job->state == DW_A_COMPLETE;
+    if (job->answer_bytes > j->cfg.answer_bytes_max) {
         job->state = DW_A_FAILED;
         job_set_reason(job, "answer_too_large");
     }
     if (job->state == DW_A_NOT_RUN && !job->cancelled) {
         job->refused = true;
-        job->lapses_ms = now + j->cfg.refuse_ms;
+        job->expires_ms = now + j->cfg.refuse_ms;
     }
-    if (!job->kept) {
+    if (!job->answer_kept) {
         free_results(j, job);
     }
-    count_end(j, job->state);
+    count_final_state(j, job->state);
     act_note(out, sk_customer(&job->sk), sk_key(&job->sk),
-        "owner: job of %u tasks ended: answer %d %s after %llu ms", job->count,
-        (int)job->state, job->reason,
+        "owner: job of %u tasks ended: answer %d %s after %llu ms",
+        job->task_count, (int)job->state, job->reason,
         (unsigned long long)(now - job->admitted_ms));
     answer_waiters(job, now, out);
     free_inputs(job);
-    job_trim_kept(j);
+    job_trim_answers(j);
 }
 
 static void
-maybe_end(struct jobs *j, uint64_t now, struct job *job, struct acts *out)
+finish_if_done(struct jobs *j, uint64_t now, struct job *job, struct acts *out)
 {
-    if (job->cust != NULL && job->out == 0 && job->waiting == 0) {
-        end_job(j, now, job, out);
+    if (job->cust != NULL && job->outstanding == 0 && job->waiting == 0) {
+        finish_job(j, now, job, out);
     }
 }
 
 /* Move a task between states and keep the counts that follow from them. */
 static void
-set_task(struct jobs *j, struct job *job, struct job_task *t, uint64_t now,
-    dw_tstate state)
+set_task_state(struct jobs *j, struct job *job, struct job_task *t,
+    uint64_t now, dw_tstate state)
 {
     dw_tstate old = t->outcome.state;
 
@@ -373,33 +373,33 @@
         return;
     }
     if (old == DW_T_OFFERED) {
-        place_settled(j->place, t->host, 1);
+        place_offer_settled(j->place, t->host, 1);
     }
     t->outcome.state = state;
-    t->since_ms = now;
+    t->state_since_ms = now;
     t->revoking = false;
     if (job->cust == NULL) {
         return;
     }
-    if (job_is_out(old) && !job_is_out(state)) {
-        job->out--;
-        job->cust->out--;
+    if (job_state_is_outstanding(old) && !job_state_is_outstanding(state)) {
+        job->outstanding--;
+        job->cust->outstanding--;
     }
-    if (!job_is_out(old) && job_is_out(state)) {
-        job->out++;
-        job->cust->out++;
+    if (!job_state_is_outstanding(old) && job_state_is_outstanding(state)) {
+        job->outstanding++;
+        job->cust->outstanding++;
     }
     if (old == DW_T_WAITING) {
         job->waiting--;
         j->waiting--;
-        j->idled |= j->waiting == 0;
+        j->window_idle |= j->waiting == 0;
     }
     if (state == DW_T_WAITING) {
         job->waiting++;
         j->waiting++;
     }
-    if (job_is_final(state)) {
-        j->drained++;
+    if (job_state_is_final(state)) {
+        j->window_ended++;
     }
 }
 
@@ -424,7 +424,7 @@
     o->epoch = j->parts[job->partition].epoch;
     o->customer = str_to_bytes(sk_customer(&job->sk));
     o->key = str_to_bytes(sk_key(&job->sk));
-    o->count = job->count;
+    o->count = job->task_count;
     o->deadline_ms = num_left(job->deadline_ms, now);
     o->items.items_val = dw_zero(n, sizeof(dw_offer_item));
     for (u_int i = 0; i < n; i++) {
@@ -460,10 +460,10 @@
 }
 
 static bool
-has_work(const struct jobs *j, const struct job *job)
+can_offer(const struct jobs *j, const struct job *job)
 {
-    return job->waiting > 0 && job->out < job->width && !job->stopping &&
-           j->parts[job->partition].gate == JOB_OPEN;
+    return job->waiting > 0 && job->outstanding < job->width &&
+           !job->stopping && j->parts[job->partition].gate == JOB_OPEN;
 }
 
 bool
@@ -471,7 +471,7 @@
 {
     const struct view_contract *vc = view_contract(j->view, str_of(c->name));
 
-    return vc != NULL && c->out < vc->c.guaranteed;
+    return vc != NULL && c->outstanding < vc->c.guaranteed;
 }
 
 /*
@@ -480,12 +480,12 @@
  * find a start record of the job, or it could take a resubmission for new.
  */
 static u_int
-place_some(struct jobs *j, uint64_t now, struct job *job, uint32_t *picked)
+place_tasks(struct jobs *j, uint64_t now, struct job *job, uint32_t *picked)
 {
     u_int n = 0;
 
-    for (uint32_t i = 0; i < job->count && n < QUANTUM && has_work(j, job);
-         i++) {
+    for (uint32_t i = 0;
+         i < job->task_count && n < QUANTUM_TASKS && can_offer(j, job); i++) {
         struct job_task *t = &job->tasks[i];
         struct place_need need = {t->task.millicores, t->task.memory_mb,
             job_below_guarantee(j, job->cust)};
@@ -500,19 +500,19 @@
         }
         t->host = host;
         t->attempt++;
-        set_task(j, job, t, now, DW_T_OFFERED);
+        set_task_state(j, job, t, now, DW_T_OFFERED);
         picked[n++] = i;
     }
     return n;
 }
 
 static struct job *
-first_ready(const struct jobs *j, const struct job_cust *c)
+first_offerable(const struct jobs *j, const struct job_cust *c)
 {
     struct job *job;
 
     DL_FOREACH (c->jobs, job) {
-        if (has_work(j, job)) {
+        if (can_offer(j, job)) {
             return job;
         }
     }
@@ -538,8 +538,8 @@
     struct job_cust *c;
     struct job *best = NULL;
 
-    for (c = j->custs; c != NULL; c = c->hh.next) {
-        struct job *job = first_ready(j, c);
+    for (c = j->customers; c != NULL; c = c->hh.next) {
+        struct job *job = first_offerable(j, c);
 
         if (job != NULL && (best == NULL || comes_before(j, c, best->cust))) {
             best = job;
@@ -549,7 +549,7 @@
 }
 
 static void
-charge(struct jobs *j, struct job_cust *c, u_int n)
+charge_customer(struct jobs *j, struct job_cust *c, u_int n)
 {
     const struct view_contract *vc = view_contract(j->view, str_of(c->name));
     uint32_t w = vc != NULL ? vc->c.weight : 1;
@@ -564,16 +564,16 @@
 void
 job_dispatch(struct jobs *j, uint64_t now, struct acts *out)
 {
-    uint32_t picked[QUANTUM];
+    uint32_t picked[QUANTUM_TASKS];
     struct job *job;
 
     while (j->waiting > 0 && (job = next_job(j)) != NULL) {
-        u_int n = place_some(j, now, job, picked);
+        u_int n = place_tasks(j, now, job, picked);
 
         if (n == 0) {
             return;
         }
-        charge(j, job->cust, n);
+        charge_customer(j, job->cust, n);
         send_offers(j, now, job, picked, n, out);
     }
 }
@@ -591,12 +591,12 @@
     r->customer = str_to_bytes(sk_customer(&job->sk));
     r->key = str_to_bytes(sk_key(&job->sk));
     r->stop = stop;
-    r->marks.marks_val = dw_zero(job->count, sizeof(dw_mark));
-    for (uint32_t i = 0; i < job->count; i++) {
+    r->marks.marks_val = dw_zero(job->task_count, sizeof(dw_mark));
+    for (uint32_t i = 0; i < job->task_count; i++) {
         struct job_task *t = &job->tasks[i];
         dw_mark *m = &r->marks.marks_val[r->marks.marks_len];
 
-        if (t->host != host || !job_is_out(t->outcome.state) ||
+        if (t->host != host || !job_state_is_outstanding(t->outcome.state) ||
             (moves && !t->revoking)) {
             continue;
         }
@@ -613,11 +613,11 @@
 revoke_all(
     struct jobs *j, uint64_t now, struct job *job, bool stop, struct acts *out)
 {
-    for (uint32_t i = 0; i < job->count; i++) {
-        bool sent = !job_is_out(job->tasks[i].outcome.state);
+    for (uint32_t i = 0; i < job->task_count; i++) {
+        bool sent = !job_state_is_outstanding(job->tasks[i].outcome.state);
 
         for (uint32_t k = 0; k < i && !sent; k++) {
-            sent = job_is_out(job->tasks[k].outcome.state) &&
+            sent = job_state_is_outstanding(job->tasks[k].outcome.state) &&
                    job->tasks[k].host == job->tasks[i].host;
         }
         if (!sent) {
@@ -633,13 +633,13 @@
 {
     job_set_reason(job, reason);
     job->stopping = true;
-    for (uint32_t i = 0; i < job->count; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         if (job->tasks[i].outcome.state == DW_T_WAITING) {
-            set_task(j, job, &job->tasks[i], now, DW_T_NOT_STARTED);
+            set_task_state(j, job, &job->tasks[i], now, DW_T_NOT_STARTED);
         }
     }
     revoke_all(j, now, job, stop, out);
-    maybe_end(j, now, job, out);
+    finish_if_done(j, now, job, out);
 }
 
 void
@@ -656,14 +656,14 @@
             MOVED_RETRY_MS, "not_ready", out);
         return;
     }
-    job = job_find_unlapsed(j, now, name, key);
+    job = job_find_unexpired(j, now, name, key);
     if (job == NULL) {
         job_send_answer(
             from, c->request, c->partition, DW_A_UNKNOWN, 0, "not_found", out);
         return;
     }
     if (job->state != DW_A_RUNNING) {
-        job_answer(job, now, from, c->request, out);
+        job_answer_request(job, now, from, c->request, out);
         return;
     }
     job_attach(j, job, from, c->request);
@@ -679,82 +679,84 @@
 struct job_task *
 job_task_at(struct job *job, uint32_t index)
 {
-    return job != NULL && index < job->count ? &job->tasks[index] : NULL;
+    return job != NULL && index < job->task_count ? &job->tasks[index] : NULL;
 }
 
 static void
-return_task(struct jobs *j, uint64_t now, struct job *job, struct job_task *t)
+requeue_task(struct jobs *j, uint64_t now, struct job *job, struct job_task *t)
 {
-    set_task(j, job, t, now, job->stopping ? DW_T_NOT_STARTED : DW_T_WAITING);
+    set_task_state(
+        j, job, t, now, job->stopping ? DW_T_NOT_STARTED : DW_T_WAITING);
 }
 
 /* A reply speaks of one attempt at one host; any other is out of date. */
 static void
-take_mark(struct jobs *j, uint64_t now, uint64_t from, struct job *job,
+apply_mark(struct jobs *j, uint64_t now, uint64_t from, struct job *job,
     const dw_mark *m)
 {
     struct job_task *t = job_task_at(job, m->index);
 
     if (t == NULL || t->host != from || t->attempt != m->attempt ||
-        !job_is_out(t->outcome.state)) {
+        !job_state_is_outstanding(t->outcome.state)) {
         return;
     }
     if (m->state == DW_T_NOT_STARTED) {
-        return_task(j, now, job, t);
+        requeue_task(j, now, job, t);
     }
     else if (m->state == DW_T_QUEUED || m->state == DW_T_RUNNING) {
-        set_task(j, job, t, now, m->state);
+        set_task_state(j, job, t, now, m->state);
     }
 }
 
 void
-jobs_offered(struct jobs *j, uint64_t now, uint64_t from, const dw_offered *o,
-    struct acts *out)
+jobs_offer_reply(struct jobs *j, uint64_t now, uint64_t from,
+    const dw_offered *o, struct acts *out)
 {
     struct job *job = job_find(j, str_bytes(&o->customer), str_bytes(&o->key));
 
-    place_load(j->place, now, from, &o->load);
+    place_set_load(j->place, now, from, &o->load);
     if (o->partition >= VIEW_PARTS ||
         j->parts[o->partition].gate != JOB_OPEN) {
         return;
     }
     if (job != NULL && job->state == DW_A_RUNNING) {
         for (u_int i = 0; i < o->marks.marks_len; i++) {
-            take_mark(j, now, from, job, &o->marks.marks_val[i]);
+            apply_mark(j, now, from, job, &o->marks.marks_val[i]);
         }
-        maybe_end(j, now, job, out);
+        finish_if_done(j, now, job, out);
     }
     job_dispatch(j, now, out);
 }
 
 static void
-keep_outcome(struct jobs *j, uint64_t now, struct job *job, struct job_task *t,
-    const dw_outcome *o)
+store_outcome(struct jobs *j, uint64_t now, struct job *job,
+    struct job_task *t, const dw_outcome *o)
 {
-    set_task(j, job, t, now, o->state);
+    set_task_state(j, job, t, now, o->state);
     t->outcome.code = o->code;
     t->outcome.ran_ms = o->ran_ms;
-    place_ran(j->place, o->ran_ms);
+    place_task_ended(j->place, o->ran_ms);
     t->outcome.body = str_to_bytes(str_bytes(&o->body));
-    job->bytes += o->body.dw_bytes_len;
-    j->kept += o->body.dw_bytes_len;
+    job->answer_bytes += o->body.dw_bytes_len;
+    j->kept_bytes += o->body.dw_bytes_len;
 }
 
 static void
-take_outcome(struct jobs *j, uint64_t now, uint64_t from, struct job *job,
+apply_outcome(struct jobs *j, uint64_t now, uint64_t from, struct job *job,
     const dw_outcome *o, struct acts *out)
 {
     struct job_task *t = job_task_at(job, o->index);
 
-    if (t == NULL || t->host != from || !job_is_out(t->outcome.state)) {
+    if (t == NULL || t->host != from ||
+        !job_state_is_outstanding(t->outcome.state)) {
         j->stats.late_results++;
         return;
     }
     if (o->state == DW_T_NOT_STARTED) {
-        return_task(j, now, job, t);
+        requeue_task(j, now, job, t);
         return;
     }
-    keep_outcome(j, now, job, t, o);
+    store_outcome(j, now, job, t, o);
     if (o->state != DW_T_DONE && !job->stopping) {
         stop_job(j, now, job, "task_failed", false, out);
     }
@@ -762,7 +764,7 @@
 
 /* The new owner of a job known from start records only learns the rest. */
 static void
-amend_ended(struct job *job, const dw_outcome *o)
+amend_recovered(struct job *job, const dw_outcome *o)
 {
     struct job_task *t = job_task_at(job, o->index);
 
@@ -793,7 +795,7 @@
 {
     struct job *job;
 
-    place_load(j->place, now, from, &r->load);
+    place_set_load(j->place, now, from, &r->load);
     if (r->partition >= VIEW_PARTS ||
         j->parts[r->partition].gate != JOB_OPEN) {
         /* Not acknowledged: the host sends it to whoever owns it next. */
@@ -802,15 +804,15 @@
     job = job_find(j, str_bytes(&r->customer), str_bytes(&r->key));
     for (u_int i = 0; i < r->tasks.tasks_len && job != NULL; i++) {
         if (job->state == DW_A_RUNNING) {
-            take_outcome(j, now, from, job, &r->tasks.tasks_val[i], out);
+            apply_outcome(j, now, from, job, &r->tasks.tasks_val[i], out);
         }
         else {
-            amend_ended(job, &r->tasks.tasks_val[i]);
+            amend_recovered(job, &r->tasks.tasks_val[i]);
         }
     }
     send_ack(from, r, out);
     if (job != NULL && job->state == DW_A_RUNNING) {
-        maybe_end(j, now, job, out);
+        finish_if_done(j, now, job, out);
     }
     job_dispatch(j, now, out);
 }
@@ -821,12 +823,12 @@
     uint64_t arg, struct acts *out);
 
 static void
-each_running(
+for_each_running(
     struct jobs *j, uint64_t now, job_fn fn, uint64_t arg, struct acts *out)
 {
     struct job_cust *c;
 
-    for (c = j->custs; c != NULL; c = c->hh.next) {
+    for (c = j->customers; c != NULL; c = c->hh.next) {
         struct job *job;
         struct job *tmp;
 
@@ -839,16 +841,16 @@
 }
 
 static void
-lose_host(struct jobs *j, uint64_t now, struct job *job, uint64_t host,
-    struct acts *out)
+fail_tasks_of_host(struct jobs *j, uint64_t now, struct job *job,
+    uint64_t host, struct acts *out)
 {
     bool lost = false;
 
-    for (uint32_t i = 0; i < job->count; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         struct job_task *t = &job->tasks[i];
 
-        if (t->host == host && job_is_out(t->outcome.state)) {
-            set_task(j, job, t, now, DW_T_UNKNOWN);
+        if (t->host == host && job_state_is_outstanding(t->outcome.state)) {
+            set_task_state(j, job, t, now, DW_T_UNKNOWN);
             lost = true;
         }
     }
@@ -860,7 +862,7 @@
 void
 jobs_host_lost(struct jobs *j, uint64_t now, uint64_t host, struct acts *out)
 {
-    each_running(j, now, lose_host, host, out);
+    for_each_running(j, now, fail_tasks_of_host, host, out);
     job_dispatch(j, now, out);
 }
 
@@ -870,7 +872,7 @@
     uint32_t picked[DW_MAX_TASKS];
     u_int n = 0;
 
-    for (uint32_t i = 0; i < job->count; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         struct job_task *t = &job->tasks[i];
 
         if (t->outcome.state == DW_T_OFFERED && !t->revoking &&
@@ -890,11 +892,11 @@
 {
     uint64_t host = 0;
 
-    for (uint32_t i = 0; i < job->count; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         struct job_task *t = &job->tasks[i];
 
         if (t->outcome.state != DW_T_QUEUED || t->revoking ||
-            now - t->since_ms < j->cfg.move_ms ||
+            now - t->state_since_ms < j->cfg.move_ms ||
             (host != 0 && host != t->host)) {
             continue;
         }
@@ -910,14 +912,14 @@
 }
 
 static void
-end_late(struct jobs *j, uint64_t now, struct job *job, struct acts *out)
+finish_overdue(struct jobs *j, uint64_t now, struct job *job, struct acts *out)
 {
-    for (uint32_t i = 0; i < job->count; i++) {
-        if (job_is_out(job->tasks[i].outcome.state)) {
-            set_task(j, job, &job->tasks[i], now, DW_T_UNKNOWN);
+    for (uint32_t i = 0; i < job->task_count; i++) {
+        if (job_state_is_outstanding(job->tasks[i].outcome.state)) {
+            set_task_state(j, job, &job->tasks[i], now, DW_T_UNKNOWN);
         }
     }
-    maybe_end(j, now, job, out);
+    finish_if_done(j, now, job, out);
 }
 
 static void
@@ -929,7 +931,7 @@
         return;
     }
     if (now >= job->deadline_ms + j->cfg.grace_ms) {
-        end_late(j, now, job, out);
+        finish_overdue(j, now, job, out);
         return;
     }
     if (now >= job->deadline_ms && !job->stopping) {
@@ -937,7 +939,7 @@
         return;
     }
     if (job->stopping) {
-        if (job->out > 0 && (now - job->admitted_ms) % 500 < SCAN_MS) {
+        if (job->outstanding > 0 && (now - job->admitted_ms) % 500 < SCAN_MS) {
             revoke_all(
                 j, now, job, now >= job->deadline_ms || job->cancelled, out);
         }
@@ -950,14 +952,14 @@
 }
 
 static void
-forget(struct jobs *j, uint64_t now)
+remove_expired(struct jobs *j, uint64_t now)
 {
     struct job *job;
     struct job *tmp;
     size_t looked = 0;
 
     HASH_ITER (hh, j->jobs, job, tmp) {
-        if (job->state != DW_A_RUNNING && job->lapses_ms <= now) {
+        if (job->state != DW_A_RUNNING && job->expires_ms <= now) {
             job_free(j, job);
         }
         else if (++looked > 256) {
@@ -967,38 +969,38 @@
 }
 
 static void
-measure_rate(struct jobs *j, uint64_t now)
+measure_drain_rate(struct jobs *j, uint64_t now)
 {
-    uint64_t ms = now - j->rate_ms;
+    uint64_t ms = now - j->window_start_ms;
     uint32_t rate;
 
     if (ms < RATE_WINDOW_MS) {
         return;
     }
-    rate = (uint32_t)((uint64_t)j->drained * 1000000 / ms);
+    rate = (uint32_t)((uint64_t)j->window_ended * 1000000 / ms);
     /* Only while tasks wait all the time does the rate tell what the fleet
      * can do for us; else it tells what was asked, and a few tasks on a quiet
      * fleet would look like hours of waiting. */
-    if (j->idled) {
+    if (j->window_idle) {
         rate = 0;
     }
-    j->rate_milli = j->rate_milli == 0 || rate == 0
-                        ? rate
-                        : (3 * j->rate_milli + rate) / 4;
-    j->drained = 0;
-    j->idled = j->waiting == 0;
-    j->rate_ms = now;
+    j->drain_rate_milli = j->drain_rate_milli == 0 || rate == 0
+                              ? rate
+                              : (3 * j->drain_rate_milli + rate) / 4;
+    j->window_ended = 0;
+    j->window_idle = j->waiting == 0;
+    j->window_start_ms = now;
 }
 
 void
 jobs_tick(struct jobs *j, uint64_t now, struct acts *out)
 {
-    if (now - j->scanned_ms < SCAN_MS) {
+    if (now - j->last_scan_ms < SCAN_MS) {
         return;
     }
-    j->scanned_ms = now;
-    measure_rate(j, now);
-    each_running(j, now, scan_job, 0, out);
-    forget(j, now);
+    j->last_scan_ms = now;
+    measure_drain_rate(j, now);
+    for_each_running(j, now, scan_job, 0, out);
+    remove_expired(j, now);
     job_dispatch(j, now, out);
 }
--- a/job.h
+++ b/job.h
@@ -25,18 +25,18 @@
 #define JOB_TOO_OLD "too_old"
 
 struct job_cfg {
-    uint32_t record_ms;    /* W: how long ended jobs are remembered */
-    uint32_t refuse_ms;    /* R: how long a refusal stands */
-    uint32_t max_age_ms;   /* an older attempt is not admitted; below R */
-    uint32_t skew_ms;      /* bound on callers' clocks, for UUIDv7 keys */
-    uint32_t resend_ms;    /* until an offer is replied to */
-    uint32_t move_ms;      /* queued this long, a task may be moved */
-    uint32_t grace_ms;     /* after the deadline, for stops to be heard */
-    uint32_t waiting_max;  /* tasks waiting at this owner */
-    uint64_t kept_bytes;   /* of answers kept for resubmissions */
-    uint64_t answer_bytes; /* of one answer */
-    bool no_moves;         /* to compare with */
-    bool no_early_refusal; /* to compare with */
+    uint32_t retention_ms;     /* W: how long ended jobs are remembered */
+    uint32_t refuse_ms;        /* R: how long a refusal stands */
+    uint32_t max_age_ms;       /* an older attempt is not admitted; below R */
+    uint32_t clock_skew_ms;    /* bound on callers' clocks, for UUIDv7 keys */
+    uint32_t resend_ms;        /* until an offer is replied to */
+    uint32_t move_ms;          /* queued this long, a task may be moved */
+    uint32_t grace_ms;         /* after the deadline, for stops to be heard */
+    uint32_t waiting_max;      /* tasks waiting at this owner */
+    uint64_t kept_bytes_max;   /* of answers kept for resubmissions */
+    uint64_t answer_bytes_max; /* of one answer */
+    bool no_moves;             /* to compare with */
+    bool no_early_refusal;     /* to compare with */
 };
 
 /* Whether this process may admit jobs of a partition. */
@@ -49,8 +49,9 @@
 struct job_part {
     enum job_gate gate;
     uint64_t epoch;
-    uint64_t unsure_until;   /* records may be missing until then */
-    uint64_t unsure_wall_ms; /* a UUIDv7 key made later is certainly new */
+    uint64_t incomplete_until_ms; /* records may be missing until then */
+    uint64_t
+        uuid7_cutoff_wall_ms; /* a UUIDv7 key made later is certainly new */
 };
 
 struct job_task {
@@ -59,7 +60,7 @@
     uint32_t attempt;
     uint64_t host;
     uint64_t sent_ms;
-    uint64_t since_ms;
+    uint64_t state_since_ms;
     bool revoking;
 };
 
@@ -77,21 +78,21 @@
     uint64_t body_hash;
     uint64_t admit_request; /* the one that the starts were charged to */
     dw_astate state;
-    bool refused;  /* NOT_RUN that lapses after refuse_ms */
-    bool kept;     /* the results are still here */
-    bool stopping; /* starts nothing more: an error, cancel or deadline */
+    bool refused;     /* NOT_RUN that lapses after refuse_ms */
+    bool answer_kept; /* the results are still here */
+    bool stopping;    /* starts nothing more: an error, cancel or deadline */
     bool cancelled;
     char reason[64];
     uint64_t admitted_ms;
     uint64_t ended_ms;
-    uint64_t lapses_ms; /* when the record may be forgotten */
+    uint64_t expires_ms; /* when the record may be forgotten */
     uint64_t deadline_ms;
-    uint32_t width;   /* tasks out at once */
-    uint32_t out;     /* offered, queued or running */
-    uint32_t waiting; /* not offered */
-    uint32_t count;
+    uint32_t width;       /* tasks out at once */
+    uint32_t outstanding; /* offered, queued or running */
+    uint32_t waiting;     /* not offered */
+    uint32_t task_count;
     struct job_task *tasks;
-    uint64_t bytes;
+    uint64_t answer_bytes;
     struct job_waiter *waiters;
     struct job_cust *cust;
     struct job *prev; /* in the customer's list of running jobs */
@@ -102,7 +103,7 @@
 struct job_cust {
     char name[CT_NAME_MAX];
     struct job *jobs;
-    uint32_t out;
+    uint32_t outstanding;
     uint64_t vtime;
     UT_hash_handle hh;
 };
@@ -111,8 +112,8 @@
     uint64_t admitted;
     uint64_t attached;
     uint64_t refused;
-    uint64_t unsure;
-    uint64_t moved_on; /* told to go elsewhere or wait */
+    uint64_t records_lost;
+    uint64_t redirected; /* told to go elsewhere or wait */
     uint64_t complete;
     uint64_t failed;
     uint64_t not_run;
@@ -132,15 +133,15 @@
     uint64_t wall_ms; /* wall clock, set by the caller; for UUIDv7 only */
     struct job_part parts[VIEW_PARTS];
     struct job *jobs;
-    struct job_cust *custs;
+    struct job_cust *customers;
     uint32_t waiting;
-    uint64_t kept;
+    uint64_t kept_bytes;
     uint64_t vtime;
-    uint32_t drained; /* tasks ended since rate_ms */
-    uint64_t rate_ms;
-    bool idled;          /* since rate_ms nothing waited at some time */
-    uint32_t rate_milli; /* tasks ended per second, times 1000 */
-    uint64_t scanned_ms;
+    uint32_t window_ended; /* tasks ended since rate_ms */
+    uint64_t window_start_ms;
+    bool window_idle;          /* since rate_ms nothing waited at some time */
+    uint32_t drain_rate_milli; /* tasks ended per second, times 1000 */
+    uint64_t last_scan_ms;
     struct job_stats stats;
 };
 
@@ -153,7 +154,7 @@
     const dw_submit *s, struct acts *out);
 void jobs_cancel(struct jobs *j, uint64_t now, uint64_t from,
     const dw_cancel *c, struct acts *out);
-void jobs_offered(struct jobs *j, uint64_t now, uint64_t from,
+void jobs_offer_reply(struct jobs *j, uint64_t now, uint64_t from,
     const dw_offered *o, struct acts *out);
 void jobs_result(struct jobs *j, uint64_t now, uint64_t from,
     const dw_result *r, struct acts *out);
@@ -165,13 +166,13 @@
 
 /* Ownership, driven by the own module. */
 /* Earlier owners were silent from quiet_ms on: a key made later is new. */
-void jobs_open(struct jobs *j, uint64_t now, uint32_t partition,
+void jobs_open_partition(struct jobs *j, uint64_t now, uint32_t partition,
     uint64_t epoch, uint64_t unsure_until, uint64_t quiet_ms);
-void jobs_gate(struct jobs *j, uint32_t partition, enum job_gate gate);
+void jobs_set_gate(struct jobs *j, uint32_t partition, enum job_gate gate);
 /* Forget every record of a partition that is no longer ours. */
-void jobs_drop(struct jobs *j, uint32_t partition);
+void jobs_drop_partition(struct jobs *j, uint32_t partition);
 /* A start record that a host kept for a lost owner. */
-void jobs_record(struct jobs *j, uint64_t now, const dw_record *rec);
+void jobs_restore_record(struct jobs *j, uint64_t now, const dw_record *rec);
 /* Write up to max records of a partition, from the skip-th on. */
 u_int jobs_export(struct jobs *j, uint64_t now, uint32_t partition,
     size_t skip, dw_job *into, u_int max);
--- a/jobadmit.c
+++ b/jobadmit.c
@@ -9,7 +9,7 @@
 /* Record a refusal, so that a copy of the request on its way through
  * another entry gets the same answer and does not run. */
 static void
-refuse(struct jobs *j, uint64_t now, const struct subkey *sk,
+record_refusal(struct jobs *j, uint64_t now, const struct subkey *sk,
     const dw_submit *s, const char *reason, uint64_t from, struct acts *out)
 {
     struct job *job = job_add(j, now, sk, s->partition, 0);
@@ -19,11 +19,11 @@
     job->state = DW_A_NOT_RUN;
     job->body_hash = s->body_hash;
     job->refused = true;
-    job->lapses_ms = now + ms;
+    job->expires_ms = now + ms;
     job_set_reason(job, reason);
     j->stats.refused++;
     act_note(out, sk_customer(sk), sk_key(sk), "owner: refused: %s", reason);
-    job_answer(job, now, from, s->request, out);
+    job_answer_request(job, now, from, s->request, out);
 }
 
 static bool
@@ -44,19 +44,19 @@
 static uint64_t
 expected_wait_ms(const struct jobs *j)
 {
-    if (j->waiting == 0 || j->rate_milli == 0) {
+    if (j->waiting == 0 || j->drain_rate_milli == 0) {
         return 0;
     }
-    return (uint64_t)j->waiting * 1000000 / j->rate_milli;
+    return (uint64_t)j->waiting * 1000000 / j->drain_rate_milli;
 }
 
 static bool
-has_guarantee(const struct jobs *j, const dw_bytes *name)
+has_unused_guarantee(const struct jobs *j, const dw_bytes *name)
 {
     struct str s = str_bytes(name);
     struct job_cust *c;
 
-    HASH_FIND(hh, j->custs, s.p, s.n, c);
+    HASH_FIND(hh, j->customers, s.p, s.n, c);
     if (c == NULL) {
         const struct view_contract *vc = view_contract(j->view, s);
 
@@ -82,7 +82,7 @@
 
 /* NULL if the job may be admitted, else why not. */
 static const char *
-objection(const struct jobs *j, const dw_submit *s)
+refusal_reason(const struct jobs *j, const dw_submit *s)
 {
     if (s->lookup) {
         return lookup_reason(s);
@@ -94,7 +94,7 @@
         return "overloaded";
     }
     /* What waits belongs to others: guaranteed slots do not queue for it. */
-    if (!j->cfg.no_early_refusal && !has_guarantee(j, &s->customer) &&
+    if (!j->cfg.no_early_refusal && !has_unused_guarantee(j, &s->customer) &&
         expected_wait_ms(j) > s->deadline_ms) {
         return "deadline_cannot_be_met";
     }
@@ -111,21 +111,22 @@
     job->body_hash = s->body_hash;
     job->deadline_ms = now + s->deadline_ms;
     job->width = s->width > 0 ? s->width : 1;
-    job->cust = job_customer(j, sk_customer(sk));
+    job->cust = job_get_customer(j, sk_customer(sk));
     DL_APPEND(job->cust->jobs, job);
-    for (uint32_t i = 0; i < job->count; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         job_copy_task(&job->tasks[i].task, &s->tasks.tasks_val[i]);
         job->tasks[i].task.index = i;
-        job->tasks[i].since_ms = now;
+        job->tasks[i].state_since_ms = now;
     }
-    job->waiting = job->count;
-    j->waiting += job->count;
+    job->waiting = job->task_count;
+    j->waiting += job->task_count;
     j->stats.admitted++;
     job->admit_request = s->request;
     job_attach(j, job, from, s->request);
     act_note(out, sk_customer(sk), sk_key(sk),
-        "owner: admitted %u tasks in partition %u, epoch %llu", job->count,
-        s->partition, (unsigned long long)j->parts[s->partition].epoch);
+        "owner: admitted %u tasks in partition %u, epoch %llu",
+        job->task_count, s->partition,
+        (unsigned long long)j->parts[s->partition].epoch);
     job_dispatch(j, now, out);
 }
 
@@ -137,16 +138,16 @@
 {
     uint64_t made;
 
-    if (p->unsure_until <= now) {
+    if (p->incomplete_until_ms <= now) {
         return false;
     }
     return !sk_uuid7_ms(key, &made) ||
-           made <= p->unsure_wall_ms + j->cfg.skew_ms;
+           made <= p->uuid7_cutoff_wall_ms + j->cfg.clock_skew_ms;
 }
 
 void
-job_known(struct jobs *j, uint64_t now, struct job *job, const dw_submit *s,
-    uint64_t from, struct acts *out)
+job_resubmitted(struct jobs *j, uint64_t now, struct job *job,
+    const dw_submit *s, uint64_t from, struct acts *out)
 {
     if (!s->poll && s->body_hash != 0 && job->body_hash != 0 &&
         s->body_hash != job->body_hash) {
@@ -156,7 +157,7 @@
     }
     if (job->state != DW_A_RUNNING) {
         j->stats.attached++;
-        job_answer(job, now, from, s->request, out);
+        job_answer_request(job, now, from, s->request, out);
         return;
     }
     /* An entry that asks again hears that its request is in hand. */
@@ -167,16 +168,16 @@
 }
 
 static void
-unknown(struct jobs *j, uint64_t now, const struct subkey *sk,
+submit_unknown(struct jobs *j, uint64_t now, const struct subkey *sk,
     const dw_submit *s, uint64_t from, struct acts *out)
 {
     const struct job_part *p = &j->parts[s->partition];
     const char *why;
 
     if (may_have_run(j, now, p, sk_key(sk))) {
-        j->stats.unsure++;
+        j->stats.records_lost++;
         job_send_answer(from, s->request, s->partition, DW_A_UNKNOWN,
-            (uint32_t)(p->unsure_until - now), "records_lost", out);
+            (uint32_t)(p->incomplete_until_ms - now), "records_lost", out);
         return;
     }
     if (s->poll) {
@@ -186,26 +187,26 @@
     }
     if (!s->lookup && s->age_ms > j->cfg.max_age_ms) {
         /* Its refusal may have lapsed already; see refuse(). */
-        j->stats.moved_on++;
+        j->stats.redirected++;
         job_send_answer(from, s->request, s->partition, DW_A_MOVED,
             MOVED_RETRY_MS, JOB_TOO_OLD, out);
         return;
     }
-    why = objection(j, s);
+    why = refusal_reason(j, s);
     if (why != NULL) {
-        refuse(j, now, sk, s, why, from, out);
+        record_refusal(j, now, sk, s, why, from, out);
         return;
     }
     admit(j, now, sk, s, from, out);
 }
 
 struct job *
-job_find_unlapsed(
+job_find_unexpired(
     struct jobs *j, uint64_t now, struct str customer_name, struct str key)
 {
     struct job *job = job_find(j, customer_name, key);
 
-    if (job != NULL && job->state != DW_A_RUNNING && job->lapses_ms <= now) {
+    if (job != NULL && job->state != DW_A_RUNNING && job->expires_ms <= now) {
         job_free(j, job);
         return NULL;
     }
@@ -225,16 +226,16 @@
         return;
     }
     if (j->parts[s->partition].gate != JOB_OPEN || !j->may_admit) {
-        j->stats.moved_on++;
+        j->stats.redirected++;
         job_send_answer(from, s->request, s->partition, DW_A_MOVED,
             MOVED_RETRY_MS, "not_ready", out);
         return;
     }
-    job = job_find_unlapsed(j, now, name, key);
+    job = job_find_unexpired(j, now, name, key);
     if (job != NULL) {
-        job_known(j, now, job, s, from, out);
+        job_resubmitted(j, now, job, s, from, out);
     }
     else {
-        unknown(j, now, &sk, s, from, out);
+        submit_unknown(j, now, &sk, s, from, out);
     }
 }
--- a/jobmove.c
+++ b/jobhandover.c
@@ -9,25 +9,26 @@
 #include <utlist.h>
 
 void
-jobs_open(struct jobs *j, uint64_t now, uint32_t partition, uint64_t epoch,
-    uint64_t unsure_until, uint64_t quiet_ms)
+jobs_open_partition(struct jobs *j, uint64_t now, uint32_t partition,
+    uint64_t epoch, uint64_t unsure_until, uint64_t quiet_ms)
 {
     struct job_part *p = &j->parts[partition];
 
     p->gate = JOB_OPEN;
     p->epoch = epoch;
-    p->unsure_until = unsure_until;
-    p->unsure_wall_ms = j->wall_ms - (now > quiet_ms ? now - quiet_ms : 0);
+    p->incomplete_until_ms = unsure_until;
+    p->uuid7_cutoff_wall_ms =
+        j->wall_ms - (now > quiet_ms ? now - quiet_ms : 0);
 }
 
 void
-jobs_gate(struct jobs *j, uint32_t partition, enum job_gate gate)
+jobs_set_gate(struct jobs *j, uint32_t partition, enum job_gate gate)
 {
     j->parts[partition].gate = gate;
 }
 
 void
-jobs_drop(struct jobs *j, uint32_t partition)
+jobs_drop_partition(struct jobs *j, uint32_t partition)
 {
     struct job *job;
     struct job *tmp;
@@ -41,13 +42,13 @@
 }
 
 void
-jobs_record(struct jobs *j, uint64_t now, const dw_record *rec)
+jobs_restore_record(struct jobs *j, uint64_t now, const dw_record *rec)
 {
     struct subkey sk;
     struct job *job;
 
     if (!sk_make(&sk, str_bytes(&rec->customer), str_bytes(&rec->key)) ||
-        rec->count > DW_MAX_TASKS || rec->age_ms >= j->cfg.record_ms) {
+        rec->count > DW_MAX_TASKS || rec->age_ms >= j->cfg.retention_ms) {
         return;
     }
     job = job_find(j, sk_customer(&sk), sk_key(&sk));
@@ -55,7 +56,7 @@
         job = job_add(j, now, &sk, rec->partition, rec->count);
         job->state = DW_A_FAILED;
         job_set_reason(job, OWNER_LOST);
-        for (uint32_t i = 0; i < job->count; i++) {
+        for (uint32_t i = 0; i < job->task_count; i++) {
             job->tasks[i].outcome.state = DW_T_UNKNOWN;
         }
     }
@@ -64,13 +65,14 @@
         /* Admitted here since, under a key that was certainly new. */
         return;
     }
-    job->lapses_ms = now + j->cfg.record_ms - rec->age_ms;
+    job->expires_ms = now + j->cfg.retention_ms - rec->age_ms;
     for (u_int i = 0; i < rec->marks.marks_len; i++) {
         const dw_mark *m = &rec->marks.marks_val[i];
         struct job_task *t = job_task_at(job, m->index);
 
         /* A running task's end is not known yet; see amend_ended(). */
-        if (t != NULL && m->attempt >= t->attempt && job_is_final(m->state)) {
+        if (t != NULL && m->attempt >= t->attempt &&
+            job_state_is_final(m->state)) {
             t->attempt = m->attempt;
             t->outcome.state = m->state;
         }
@@ -87,16 +89,16 @@
     o->age_ms = (uint32_t)(now - job->admitted_ms);
     o->deadline_ms = job->state == DW_A_RUNNING
                          ? num_left(job->deadline_ms, now)
-                         : num_left(job->lapses_ms, now);
+                         : num_left(job->expires_ms, now);
     o->width = job->width;
     o->state = job->state;
     o->refused = job->refused;
-    o->kept = job->kept;
+    o->kept = job->answer_kept;
     o->cancelled = job->cancelled;
     o->reason = str_to_bytes(str_of(job->reason));
-    o->tasks.tasks_len = job->count;
-    o->tasks.tasks_val = dw_zero(job->count, sizeof(dw_job_task));
-    for (uint32_t i = 0; i < job->count; i++) {
+    o->tasks.tasks_len = job->task_count;
+    o->tasks.tasks_val = dw_zero(job->task_count, sizeof(dw_job_task));
+    for (uint32_t i = 0; i < job->task_count; i++) {
         const struct job_task *t = &job->tasks[i];
         dw_job_task *ot = &o->tasks.tasks_val[i];
 
@@ -138,9 +140,9 @@
     t->attempt = it->attempt;
     t->host = it->host;
     t->sent_ms = now;
-    t->since_ms = now;
-    job->bytes += it->outcome.body.dw_bytes_len;
-    j->kept += it->outcome.body.dw_bytes_len;
+    t->state_since_ms = now;
+    job->answer_bytes += it->outcome.body.dw_bytes_len;
+    j->kept_bytes += it->outcome.body.dw_bytes_len;
     if (job->state != DW_A_RUNNING) {
         return;
     }
@@ -148,9 +150,9 @@
         job->waiting++;
         j->waiting++;
     }
-    if (job_is_out(t->outcome.state)) {
-        job->out++;
-        job->cust->out++;
+    if (job_state_is_outstanding(t->outcome.state)) {
+        job->outstanding++;
+        job->cust->outstanding++;
     }
 }
 
@@ -172,20 +174,20 @@
     job->admitted_ms = now > from->age_ms ? now - from->age_ms : 0;
     job->width = from->width;
     job->refused = from->refused;
-    job->kept = from->kept;
+    job->answer_kept = from->kept;
     job->cancelled = from->cancelled;
     str_copy(job->reason, sizeof(job->reason), str_bytes(&from->reason));
     job->stopping = job->state == DW_A_RUNNING && job->reason[0] != '\0';
     if (job->state == DW_A_RUNNING) {
         job->deadline_ms = now + from->deadline_ms;
-        job->cust = job_customer(j, sk_customer(&sk));
+        job->cust = job_get_customer(j, sk_customer(&sk));
         DL_APPEND(job->cust->jobs, job);
     }
     else {
-        job->lapses_ms = now + from->deadline_ms;
+        job->expires_ms = now + from->deadline_ms;
     }
-    for (uint32_t i = 0; i < job->count; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         import_task(j, now, job, &job->tasks[i], &from->tasks.tasks_val[i]);
     }
-    job_trim_kept(j);
+    job_trim_answers(j);
 }
--- a/metric.c
+++ b/metric.c
@@ -79,8 +79,8 @@
     add(b, COUNTER, "jobs_admitted_total", s->admitted);
     add(b, COUNTER, "jobs_attached_total", s->attached);
     add(b, COUNTER, "jobs_refused_total", s->refused);
-    add(b, COUNTER, "jobs_unsure_total", s->unsure);
-    add(b, COUNTER, "jobs_moved_on_total", s->moved_on);
+    add(b, COUNTER, "jobs_unsure_total", s->records_lost);
+    add(b, COUNTER, "jobs_moved_on_total", s->redirected);
     add(b, COUNTER, "jobs_complete_total", s->complete);
     add(b, COUNTER, "jobs_failed_total", s->failed);
     add(b, COUNTER, "jobs_not_run_total", s->not_run);
@@ -92,7 +92,7 @@
     add(b, GAUGE, "jobs_known", HASH_COUNT(n->jobs.jobs));
     add(b, GAUGE, "jobs_running", jobs_running(&n->jobs));
     add(b, GAUGE, "tasks_waiting", n->jobs.waiting);
-    add(b, GAUGE, "answers_kept_bytes", n->jobs.kept);
+    add(b, GAUGE, "answers_kept_bytes", n->jobs.kept_bytes);
 }
 
 static void
@@ -102,7 +102,7 @@
 
     add(b, COUNTER, "tasks_started_total", s->started);
     add(b, COUNTER, "tasks_ended_total", s->ended);
-    add(b, COUNTER, "offers_refused_again_total", s->refused_again);
+    add(b, COUNTER, "offers_refused_again_total", s->refused_duplicate);
     add(b, COUNTER, "offers_refused_epoch_total", s->refused_epoch);
     add(b, COUNTER, "offers_refused_full_total", s->refused_full);
     add(b, COUNTER, "tasks_released_total", s->released);
@@ -144,11 +144,12 @@
     add(b, GAUGE, "members", HASH_COUNT(n->view.members));
     add(b, GAUGE, "partitions_open", own_count(&n->own, OWN_OPEN));
     add(b, GAUGE, "partitions_recovering", own_count(&n->own, OWN_RECOVERING));
-    add(b, GAUGE, "partitions_giving", own_count(&n->own, OWN_GIVING));
+    add(b, GAUGE, "partitions_giving", own_count(&n->own, OWN_HANDING_OVER));
     add(b, COUNTER, "takeovers_total", n->own.stats.takeovers);
-    add(b, COUNTER, "partitions_given_total", n->own.stats.given);
+    add(b, COUNTER, "partitions_given_total", n->own.stats.handed_over);
     add(b, COUNTER, "partitions_received_total", n->own.stats.received);
-    add(b, COUNTER, "handovers_given_up_total", n->own.stats.give_ups);
+    add(b, COUNTER, "handovers_given_up_total",
+        n->own.stats.handovers_aborted);
     add(b, COUNTER, "map_plans_total", n->own.stats.plans);
     add(b, COUNTER, "store_reads_total", d->store->stats.reads);
     add(b, COUNTER, "store_txns_total", d->store->stats.txns);
--- a/node.c
+++ b/node.c
@@ -26,40 +26,40 @@
         .period_ms = 500, .timeout_ms = 150, .suspect_ms = 1500, .fanout = 3};
     cfg->sync = (struct sync_cfg){
         .pull_ms = 500, .read_ms = 1000, .fresh_ms = 3000, .per_reader = 8};
-    cfg->place = (struct place_cfg){.policy = PLACE_FREE,
+    cfg->place = (struct place_cfg){.policy = PLACE_MOST_FREE,
         .queue_allow = 2,
         .sample = 2,
         .scan_max = 0,
         .stale_ms = 500,
         .hints = 4,
-        .sick_permille = 500,
-        .sick_min_ms = 1000,
-        .sick_max_ms = 60000};
+        .probation_permille = 500,
+        .probation_min_ms = 1000,
+        .probation_max_ms = 60000};
     cfg->host = (struct host_cfg){.slots = 8,
         .millicores = 64000,
         .memory_mb = 131072,
         .queue_max = 64,
-        .record_ms = 600000,
+        .retention_ms = 600000,
         .resend_ms = 300,
         .bypass_ms = 500};
-    cfg->job = (struct job_cfg){.record_ms = 600000,
+    cfg->job = (struct job_cfg){.retention_ms = 600000,
         .refuse_ms = 14000,
         .max_age_ms = 10000,
-        .skew_ms = 5000,
+        .clock_skew_ms = 5000,
         .resend_ms = 200,
         .move_ms = 1000,
         .grace_ms = 1000,
         .waiting_max = 20000,
-        .kept_bytes = 32U << 20,
-        .answer_bytes = 4U << 20};
+        .kept_bytes_max = 32U << 20,
+        .answer_bytes_max = 4U << 20};
     cfg->own = (struct own_cfg){.quiet_ms = 3500,
-        .record_ms = 600000,
+        .retention_ms = 600000,
         .resend_ms = 300,
-        .plan_ms = 300,
-        .steady_ms = 3000,
-        .give_max = 4,
-        .leave_max = 256,
-        .give_up_ms = 3000};
+        .plan_interval_ms = 300,
+        .stable_ms = 3000,
+        .handover_max = 4,
+        .leaving_handover_max = 256,
+        .handover_timeout_ms = 3000};
     cfg->lend = (struct lend_cfg){.valid_ms = 10000,
         .renew_ms = 1000,
         .settle_ms = 3500,
@@ -273,7 +273,7 @@
     own_view_changed(&n->own, now, out);
     mbr_sync(&n->mbr, &n->view, now);
     lose_hosts(n, now, out);
-    place_sync(&n->place, &n->view, &n->mbr);
+    place_sync_members(&n->place, &n->view, &n->mbr);
     host_view_changed(&n->host);
     follow_homes(n, now);
     if (n->was_listed != listed) {
@@ -298,7 +298,7 @@
 {
     struct mbr_peer *p;
 
-    place_sync(&n->place, &n->view, &n->mbr);
+    place_sync_members(&n->place, &n->view, &n->mbr);
     for (p = n->mbr.peers; p != NULL; p = p->hh.next) {
         if (p->state == DW_M_DEAD && p->proved) {
             jobs_host_lost(&n->jobs, now, p->id, out);
@@ -426,7 +426,7 @@
     dw_load own = {0};
 
     host_load(&n->host, &own);
-    place_load(&n->place, now, n->self, &own);
+    place_set_load(&n->place, now, n->self, &own);
     for (a = out->head; a != NULL; a = a->next) {
         dw_hints *h = a->kind == ACT_SEND ? hints_of(a->msg) : NULL;
 
@@ -447,7 +447,7 @@
         return;
     }
     n->loads_ms = now;
-    count = place_stale(&n->place, now, ids, LOAD_ASKS);
+    count = place_stale_hosts(&n->place, now, ids, LOAD_ASKS);
     for (size_t i = 0; i < count; i++) {
         mbr_ask_load(&n->mbr, ids[i], out);
     }
@@ -502,7 +502,7 @@
 
 HANDLER(on_offered)
 {
-    jobs_offered(&n->jobs, now, from, &msg->dw_msg_u.offered, out);
+    jobs_offer_reply(&n->jobs, now, from, &msg->dw_msg_u.offered, out);
 }
 
 HANDLER(on_result)
@@ -515,7 +515,7 @@
     (void)now;
     (void)from;
     (void)out;
-    host_acked(&n->host, &msg->dw_msg_u.result_ack);
+    host_result_acked(&n->host, &msg->dw_msg_u.result_ack);
 }
 
 HANDLER(on_revoke)
@@ -564,7 +564,7 @@
     }
     p = mbr_peer(&n->mbr, from);
     if (p != NULL && p->have_load) {
-        place_load(&n->place, now, from, &p->load);
+        place_set_load(&n->place, now, from, &p->load);
     }
 }
 
@@ -651,7 +651,7 @@
 
     set_gates(n, now);
     if (hints_of(msg) != NULL) {
-        place_take_hints(&n->place, now, hints_of(msg));
+        place_apply_hints(&n->place, now, hints_of(msg));
     }
     if (type < sizeof(handlers) / sizeof(handlers[0]) &&
         handlers[type] != NULL) {
@@ -742,7 +742,7 @@
     uint32_t code, struct str body, struct acts *out)
 {
     set_gates(n, now);
-    host_ended(&n->host, now, ref, state, code, body, out);
+    host_task_ended(&n->host, now, ref, state, code, body, out);
     tell_loads(n, now, out);
 }
 
@@ -751,12 +751,12 @@
     struct acts *out)
 {
     set_gates(n, now);
-    host_serving(&n->host, now, serving, slots, out);
+    host_set_serving(&n->host, now, serving, slots, out);
 }
 
 void
 node_usage(
     struct node *n, struct str kind, uint32_t millicores, uint32_t memory_mb)
 {
-    host_usage(&n->host, kind, millicores, memory_mb);
+    host_task_usage(&n->host, kind, millicores, memory_mb);
 }
--- a/own-int.h
+++ b/own-int.h
@@ -12,7 +12,7 @@
 
 /* ms for which the answer to who should own what is kept, and between looks
  * at what to hand over while nothing has changed. */
-#define TARGET_MS 1000
+#define TARGET_INTERVAL_MS 1000
 
 /* The member may own partitions: an agent that stays, in a domain in
  * service, and not known to be dead. */
--- a/own.c
+++ b/own.c
@@ -6,8 +6,8 @@
 
 #define CHUNK_JOBS 64
 /* A hand-over received but never confirmed by the map is dropped. */
-#define IN_MS 30000
-#define SWAP_AGAIN_MS 1000
+#define INCOMING_TIMEOUT_MS 30000
+#define COMMIT_RETRY_MS 1000
 
 void
 own_init(struct own *o, const struct own_cfg *cfg, uint64_t self,
@@ -22,30 +22,30 @@
     o->sync = sync;
     o->jobs = jobs;
     o->nonce = (uint32_t)mix64(self, 4) | 1;
-    o->counts[OWN_NOT] = VIEW_PARTS;
+    o->counts[OWN_NONE] = VIEW_PARTS;
 }
 
 static void
-free_round(struct own_round *r)
+free_takeover(struct own_takeover *r)
 {
     free(r->parts);
-    free(r->waits);
-    free(r->gone);
+    free(r->unanswered);
+    free(r->removed);
     free(r);
 }
 
 void
 own_free(struct own *o)
 {
-    while (o->rounds != NULL) {
-        struct own_round *r = o->rounds;
+    while (o->takeovers != NULL) {
+        struct own_takeover *r = o->takeovers;
 
-        o->rounds = r->next;
-        free_round(r);
+        o->takeovers = r->next;
+        free_takeover(r);
     }
     free(o->losses);
-    free(o->known);
-    free(o->seen_ms);
+    free(o->agents);
+    free(o->agent_seen_ms);
 }
 
 size_t
@@ -65,7 +65,7 @@
 bool
 own_empty(const struct own *o)
 {
-    return own_count(o, OWN_NOT) == VIEW_PARTS;
+    return own_count(o, OWN_NONE) == VIEW_PARTS;
 }
 
 void
@@ -73,8 +73,8 @@
 {
     o->leaving = true;
     o->target_ms = 0;
-    o->gave_ms = 0;
-    o->gave_rev = 0;
+    o->handover_ms = 0;
+    o->handover_rev = 0;
 }
 
 /* --- losses --- */
@@ -89,12 +89,12 @@
     }
     o->losses = dw_grow(o->losses, (o->loss_count + 1) * sizeof(o->losses[0]));
     o->losses[o->loss_count].id = id;
-    o->losses[o->loss_count].ms = now;
+    o->losses[o->loss_count].removed_ms = now;
     o->loss_count++;
 }
 
 static void
-drop_loss(struct own *o, uint64_t id)
+remove_loss(struct own *o, uint64_t id)
 {
     for (size_t i = 0; i < o->loss_count; i++) {
         if (o->losses[i].id == id) {
@@ -105,12 +105,12 @@
 }
 
 static void
-forget_losses(struct own *o, uint64_t now)
+expire_losses(struct own *o, uint64_t now)
 {
     size_t n = 0;
 
     for (size_t i = 0; i < o->loss_count; i++) {
-        if (now - o->losses[i].ms < o->cfg.record_ms) {
+        if (now - o->losses[i].removed_ms < o->cfg.retention_ms) {
             o->losses[n++] = o->losses[i];
         }
     }
@@ -118,7 +118,7 @@
 }
 
 static bool
-in_list(const uint64_t *list, size_t n, uint64_t id)
+contains(const uint64_t *list, size_t n, uint64_t id)
 {
     for (size_t i = 0; i < n; i++) {
         if (list[i] == id) {
@@ -130,7 +130,7 @@
 
 /* Agents that the view no longer lists took their start records along. */
 static void
-follow_agents(struct own *o, uint64_t now)
+update_agents(struct own *o, uint64_t now)
 {
     const struct view_member *m;
     size_t max = HASH_COUNT(o->view->members) + 1;
@@ -138,41 +138,42 @@
     uint64_t *seen = dw_zero(max, sizeof(*seen));
     size_t n = 0;
 
-    for (size_t i = 0; i < o->known_count; i++) {
-        if (view_member(o->view, o->known[i]) == NULL) {
-            add_loss(o, now, o->known[i]);
+    for (size_t i = 0; i < o->agent_count; i++) {
+        if (view_member(o->view, o->agents[i]) == NULL) {
+            add_loss(o, now, o->agents[i]);
         }
         else {
-            known[n] = o->known[i];
-            seen[n++] = o->seen_ms[i];
+            known[n] = o->agents[i];
+            seen[n++] = o->agent_seen_ms[i];
         }
     }
     for (m = o->view->members; m != NULL; m = m->hh.next) {
-        if (m->role == VIEW_AGENT && !in_list(known, n, m->id)) {
+        if (m->role == VIEW_AGENT && !contains(known, n, m->id)) {
             known[n] = m->id;
             seen[n++] = now;
             /* The same process: it still has its records. */
-            drop_loss(o, m->id);
+            remove_loss(o, m->id);
         }
     }
-    free(o->known);
-    free(o->seen_ms);
-    o->known = known;
-    o->seen_ms = seen;
-    o->known_count = n;
+    free(o->agents);
+    free(o->agent_seen_ms);
+    o->agents = known;
+    o->agent_seen_ms = seen;
+    o->agent_count = n;
 }
 
 /* --- taking over --- */
 
 static void
-add_gone(struct own_round *r, uint64_t id)
+add_removed(struct own_takeover *r, uint64_t id)
 {
-    r->gone = dw_grow(r->gone, (r->gone_count + 1) * sizeof(uint64_t));
-    r->gone[r->gone_count++] = id;
+    r->removed =
+        dw_grow(r->removed, (r->removed_count + 1) * sizeof(uint64_t));
+    r->removed[r->removed_count++] = id;
 }
 
 static void
-begin_round(struct own *o, uint64_t now, struct own_round *r)
+begin_takeover(struct own *o, uint64_t now, struct own_takeover *r)
 {
     const struct view_member *m;
 
@@ -180,30 +181,31 @@
     r->rev = o->view->rev;
     r->nonce = ++o->nonce;
     r->started_ms = now;
-    r->waits = dw_zero(HASH_COUNT(o->view->members) + 1, sizeof(r->waits[0]));
+    r->unanswered =
+        dw_zero(HASH_COUNT(o->view->members) + 1, sizeof(r->unanswered[0]));
     for (m = o->view->members; m != NULL; m = m->hh.next) {
         if (m->role == VIEW_AGENT) {
-            r->waits[r->wait_count++].host = m->id;
+            r->unanswered[r->unanswered_count++].host = m->id;
         }
     }
-    r->host_count = r->wait_count;
+    r->host_count = r->unanswered_count;
     for (size_t i = 0; i < o->loss_count; i++) {
-        if (r->mixed || o->losses[i].id != r->prev) {
-            add_gone(r, o->losses[i].id);
+        if (r->mixed_owners || o->losses[i].id != r->prev_owner) {
+            add_removed(r, o->losses[i].id);
         }
     }
-    r->next = o->rounds;
-    o->rounds = r;
+    r->next = o->takeovers;
+    o->takeovers = r;
     o->stats.takeovers++;
 }
 
 static void
-send_fences(uint64_t now, struct own_round *r, struct acts *out)
+send_fences(uint64_t now, struct own_takeover *r, struct acts *out)
 {
     r->sent_ms = now;
-    for (size_t i = 0; i < r->wait_count; i++) {
+    for (size_t i = 0; i < r->unanswered_count; i++) {
         dw_fence *f =
-            &act_send(out, r->waits[i].host, DW_FENCE)->dw_msg_u.fence;
+            &act_send(out, r->unanswered[i].host, DW_FENCE)->dw_msg_u.fence;
 
         f->nonce = r->nonce;
         f->epoch = r->epoch;
@@ -217,82 +219,82 @@
 
 /* When the owner before this one is certainly silent. */
 static uint64_t
-quiet_at(const struct own *o, uint64_t now, const struct own_part *part,
-    bool map_skipped)
+prev_owner_quiet_at(const struct own *o, uint64_t now,
+    const struct own_part *part, bool map_skipped)
 {
     const struct mbr_peer *peer = mbr_peer(o->mbr, part->owner);
     uint64_t at = now + o->cfg.quiet_ms;
 
     if (peer != NULL && peer->proved && !map_skipped) {
-        return part->quiet_at;
+        return part->quiet_at_ms;
     }
-    return at > part->quiet_at ? at : part->quiet_at;
+    return at > part->quiet_at_ms ? at : part->quiet_at_ms;
 }
 
 /* A hand-over that was received whole, and that the map confirms. */
 static bool
-was_handed(const struct own_part *part, const struct view_part *vp)
+was_handed_over(const struct own_part *part, const struct view_part *vp)
 {
-    return vp->nonce != 0 && part->in_whole && part->in_nonce == vp->nonce;
+    return vp->nonce != 0 && part->in_complete && part->in_nonce == vp->nonce;
 }
 
 static void
-became_owner(struct own *o, uint64_t now, uint32_t p, uint64_t prev,
-    bool first_map, struct own_round *r)
+gained_partition(struct own *o, uint64_t now, uint32_t p, uint64_t prev,
+    bool first_map, struct own_takeover *r)
 {
     struct own_part *part = &o->parts[p];
     const struct view_part *vp = &o->view->parts[p];
 
-    if (was_handed(part, vp) || first_map) {
+    if (was_handed_over(part, vp) || first_map) {
         set_state(o, p, OWN_OPEN);
-        jobs_open(o->jobs, now, p, vp->epoch,
-            part->in_whole ? part->in_unsure : 0, now);
-        o->stats.received += part->in_whole;
+        jobs_open_partition(o->jobs, now, p, vp->epoch,
+            part->in_complete ? part->in_incomplete_until_ms : 0, now);
+        o->stats.received += part->in_complete;
         return;
     }
-    jobs_drop(o->jobs, p);
+    jobs_drop_partition(o->jobs, p);
     set_state(o, p, OWN_RECOVERING);
     r->parts = dw_grow(r->parts, (r->part_count + 1) * sizeof(uint32_t));
-    r->mixed |= r->part_count > 0 && r->prev != prev;
-    r->prev = prev;
+    r->mixed_owners |= r->part_count > 0 && r->prev_owner != prev;
+    r->prev_owner = prev;
     r->parts[r->part_count++] = p;
 }
 
 static void
 lost_partition(struct own *o, uint32_t p)
 {
-    if (o->parts[p].state == OWN_GIVING) {
-        o->stats.given++;
+    if (o->parts[p].state == OWN_HANDING_OVER) {
+        o->stats.handed_over++;
     }
-    set_state(o, p, OWN_NOT);
-    jobs_drop(o->jobs, p);
+    set_state(o, p, OWN_NONE);
+    jobs_drop_partition(o->jobs, p);
 }
 
 static void
-end_incoming(struct own *o, uint32_t p)
+clear_incoming(struct own *o, uint32_t p)
 {
     o->incoming -= o->parts[p].in_from != 0;
-    o->parts[p].in_whole = false;
+    o->parts[p].in_complete = false;
     o->parts[p].in_from = 0;
 }
 
 static void
-follow_part(struct own *o, uint64_t now, uint32_t p, bool first_map,
-    bool skipped, struct own_round *r)
+update_part(struct own *o, uint64_t now, uint32_t p, bool first_map,
+    bool skipped, struct own_takeover *r)
 {
     struct own_part *part = &o->parts[p];
     const struct view_part *vp = &o->view->parts[p];
     uint64_t prev = part->owner;
 
     if (part->owner == vp->owner && part->epoch == vp->epoch) {
-        if (part->state == OWN_GIVING && part->swapping) {
+        if (part->state == OWN_HANDING_OVER && part->committing) {
             /* The map moved without our swap, so the swap has failed. */
-            part->swapping = false;
+            part->committing = false;
         }
         return;
     }
     if (!first_map && vp->nonce == 0) {
-        part->quiet_at = quiet_at(o, now, part, skipped);
+        part->quiet_at_ms = prev_owner_quiet_at(o, now, part, skipped);
     }
     if (part->owner == o->self && vp->owner != o->self) {
         lost_partition(o, p);
@@ -300,23 +302,23 @@
     part->owner = vp->owner;
     part->epoch = vp->epoch;
     if (vp->owner != o->self && part->in_from != 0) {
-        jobs_drop(o->jobs, p);
+        jobs_drop_partition(o->jobs, p);
     }
     if (vp->owner == o->self) {
-        became_owner(o, now, p, prev, first_map, r);
+        gained_partition(o, now, p, prev, first_map, r);
     }
-    end_incoming(o, p);
+    clear_incoming(o, p);
 }
 
 static void
-follow_map(struct own *o, uint64_t now, struct acts *out)
+apply_map(struct own *o, uint64_t now, struct acts *out)
 {
-    struct own_round *r = dw_zero(1, sizeof(*r));
+    struct own_takeover *r = dw_zero(1, sizeof(*r));
     bool first_map = o->view->map_epoch == 1;
     bool skipped = o->view->map_epoch != o->map_epoch + 1;
 
     for (uint32_t p = 0; p < VIEW_PARTS; p++) {
-        follow_part(o, now, p, first_map, skipped, r);
+        update_part(o, now, p, first_map, skipped, r);
     }
     o->map_epoch = o->view->map_epoch;
     o->map_mod = o->view->map_mod;
@@ -326,63 +328,64 @@
         add_loss(o, now > age ? now - age : 0, o->view->losses[i].id);
     }
     if (r->part_count == 0) {
-        free_round(r);
+        free_takeover(r);
         return;
     }
-    begin_round(o, now, r);
+    begin_takeover(o, now, r);
     act_event(out,
         "what=takeover partitions=%zu epoch=%" PRIu64 " from=%016" PRIx64,
-        r->part_count, r->epoch, r->prev);
+        r->part_count, r->epoch, r->prev_owner);
     send_fences(now, r, out);
 }
 
 void
 own_view_changed(struct own *o, uint64_t now, struct acts *out)
 {
-    follow_agents(o, now);
-    o->orphans = false;
+    update_agents(o, now);
+    o->has_orphans = false;
     for (size_t p = 0; p < VIEW_PARTS && o->view->have_map; p++) {
-        o->orphans |= view_member(o->view, o->view->parts[p].owner) == NULL;
+        o->has_orphans |=
+            view_member(o->view, o->view->parts[p].owner) == NULL;
     }
     if (o->view->have_map && o->view->map_mod != o->map_mod) {
-        follow_map(o, now, out);
+        apply_map(o, now, out);
     }
 }
 
 static void
-drop_wait(struct own_round *r, size_t i)
+remove_unanswered(struct own_takeover *r, size_t i)
 {
-    r->waits[i] = r->waits[--r->wait_count];
+    r->unanswered[i] = r->unanswered[--r->unanswered_count];
 }
 
 /* A host that is not listed any more will not answer; one that is listed
  * again still has its records, and is asked again. */
 static void
-follow_hosts(struct own *o, struct own_round *r)
+update_fenced_hosts(struct own *o, struct own_takeover *r)
 {
-    for (size_t i = r->wait_count; i > 0; i--) {
-        uint64_t host = r->waits[i - 1].host;
+    for (size_t i = r->unanswered_count; i > 0; i--) {
+        uint64_t host = r->unanswered[i - 1].host;
 
         if (view_member(o->view, host) == NULL) {
-            drop_wait(r, i - 1);
-            add_gone(r, host);
+            remove_unanswered(r, i - 1);
+            add_removed(r, host);
         }
     }
-    for (size_t i = r->gone_count; i > 0; i--) {
-        uint64_t host = r->gone[i - 1];
+    for (size_t i = r->removed_count; i > 0; i--) {
+        uint64_t host = r->removed[i - 1];
 
         if (view_member(o->view, host) != NULL) {
-            r->gone[i - 1] = r->gone[--r->gone_count];
-            r->waits =
-                dw_grow(r->waits, (r->wait_count + 1) * sizeof(r->waits[0]));
-            r->waits[r->wait_count].host = host;
-            r->waits[r->wait_count++].next_chunk = 0;
+            r->removed[i - 1] = r->removed[--r->removed_count];
+            r->unanswered = dw_grow(r->unanswered,
+                (r->unanswered_count + 1) * sizeof(r->unanswered[0]));
+            r->unanswered[r->unanswered_count].host = host;
+            r->unanswered[r->unanswered_count++].next_chunk = 0;
         }
     }
 }
 
 static bool
-still_ours(const struct own *o, const struct own_round *r, uint32_t p)
+still_recovering(const struct own *o, const struct own_takeover *r, uint32_t p)
 {
     return o->parts[p].state == OWN_RECOVERING &&
            o->parts[p].epoch == r->epoch;
@@ -390,22 +393,23 @@
 
 /* Records may come late, too, while the partition is open but unsure. */
 static bool
-takes_records(const struct own *o, const struct own_round *r, uint32_t p)
+accepts_records(const struct own *o, const struct own_takeover *r, uint32_t p)
 {
-    return still_ours(o, r, p) || (r->open && o->parts[p].state == OWN_OPEN &&
-                                      o->parts[p].epoch == r->epoch);
+    return still_recovering(o, r, p) ||
+           (r->opened && o->parts[p].state == OWN_OPEN &&
+               o->parts[p].epoch == r->epoch);
 }
 
 static uint64_t
-round_quiet_at(const struct own *o, const struct own_round *r)
+takeover_quiet_at(const struct own *o, const struct own_takeover *r)
 {
     uint64_t at = 0;
 
     for (size_t i = 0; i < r->part_count; i++) {
         const struct own_part *part = &o->parts[r->parts[i]];
 
-        if (still_ours(o, r, r->parts[i]) && part->quiet_at > at) {
-            at = part->quiet_at;
+        if (still_recovering(o, r, r->parts[i]) && part->quiet_at_ms > at) {
+            at = part->quiet_at_ms;
         }
     }
     return at;
@@ -414,86 +418,91 @@
 /* Records are complete if every host answered and every agent lost within W
  * has come back, besides the one whose partitions these were. */
 static bool
-complete(const struct own *o, const struct own_round *r)
+records_complete(const struct own *o, const struct own_takeover *r)
 {
-    return o->cfg.no_fence || (r->wait_count == 0 && r->gone_count == 0);
+    return o->cfg.no_fence ||
+           (r->unanswered_count == 0 && r->removed_count == 0);
 }
 
 static void
-open_round(struct own *o, uint64_t now, struct own_round *r, struct acts *out)
+open_takeover(
+    struct own *o, uint64_t now, struct own_takeover *r, struct acts *out)
 {
-    uint64_t unsure = complete(o, r) ? 0 : now + o->cfg.record_ms;
+    uint64_t unsure = records_complete(o, r) ? 0 : now + o->cfg.retention_ms;
 
     for (size_t i = 0; i < r->part_count; i++) {
         uint32_t p = r->parts[i];
 
-        if (still_ours(o, r, p)) {
+        if (still_recovering(o, r, p)) {
             set_state(o, p, OWN_OPEN);
-            jobs_open(o->jobs, now, p, r->epoch, unsure, o->parts[p].quiet_at);
+            jobs_open_partition(
+                o->jobs, now, p, r->epoch, unsure, o->parts[p].quiet_at_ms);
         }
     }
-    r->open = true;
+    r->opened = true;
     act_event(out,
         "what=takeover_open epoch=%" PRIu64 " ms=%" PRIu64
         " hosts_missing=%zu",
-        r->epoch, now - r->started_ms, r->wait_count + r->gone_count);
+        r->epoch, now - r->started_ms, r->unanswered_count + r->removed_count);
 }
 
 /* Hosts in most domains are fenced: an old owner working on through an
  * outage of the store would hear of the new epoch from one of them. */
 static bool
-fenced_enough(const struct own *o, const struct own_round *r, uint64_t now)
+fenced_enough(const struct own *o, const struct own_takeover *r, uint64_t now)
 {
-    if (r->wait_count == 0 || o->cfg.no_fence) {
+    if (r->unanswered_count == 0 || o->cfg.no_fence) {
         return true;
     }
     return now - r->started_ms >= 2 * (uint64_t)o->cfg.quiet_ms &&
-           r->wait_count < (r->host_count + 1) / 2;
+           r->unanswered_count < (r->host_count + 1) / 2;
 }
 
 /* The missing records have come after all. */
 static void
-clear_unsure(struct own *o, uint64_t now, const struct own_round *r)
+mark_records_complete(
+    struct own *o, uint64_t now, const struct own_takeover *r)
 {
     for (size_t i = 0; i < r->part_count; i++) {
         uint32_t p = r->parts[i];
 
         if (o->parts[p].state == OWN_OPEN && o->parts[p].epoch == r->epoch) {
-            jobs_open(o->jobs, now, p, r->epoch, 0, now);
+            jobs_open_partition(o->jobs, now, p, r->epoch, 0, now);
         }
     }
 }
 
 static bool
-tend_round(struct own *o, uint64_t now, struct own_round *r, struct acts *out)
+advance_takeover(
+    struct own *o, uint64_t now, struct own_takeover *r, struct acts *out)
 {
-    follow_hosts(o, r);
-    if (r->wait_count > 0 && now - r->sent_ms >= o->cfg.resend_ms) {
+    update_fenced_hosts(o, r);
+    if (r->unanswered_count > 0 && now - r->sent_ms >= o->cfg.resend_ms) {
         send_fences(now, r, out);
     }
-    if (!r->open && now >= round_quiet_at(o, r) && fenced_enough(o, r, now) &&
-        sync_majority_rev(o->sync) >= r->rev) {
-        open_round(o, now, r, out);
+    if (!r->opened && now >= takeover_quiet_at(o, r) &&
+        fenced_enough(o, r, now) && sync_majority_rev(o->sync) >= r->rev) {
+        open_takeover(o, now, r, out);
     }
-    if (r->open && complete(o, r)) {
-        clear_unsure(o, now, r);
+    if (r->opened && records_complete(o, r)) {
+        mark_records_complete(o, now, r);
         act_event(out, "what=takeover_sure epoch=%" PRIu64, r->epoch);
         return true;
     }
-    return r->open && now - r->started_ms >= o->cfg.record_ms;
+    return r->opened && now - r->started_ms >= o->cfg.retention_ms;
 }
 
 static void
-tend_rounds(struct own *o, uint64_t now, struct acts *out)
+advance_takeovers(struct own *o, uint64_t now, struct acts *out)
 {
-    struct own_round **at = &o->rounds;
+    struct own_takeover **at = &o->takeovers;
 
     while (*at != NULL) {
-        struct own_round *r = *at;
+        struct own_takeover *r = *at;
 
-        if (tend_round(o, now, r, out)) {
+        if (advance_takeover(o, now, r, out)) {
             *at = r->next;
-            free_round(r);
+            free_takeover(r);
         }
         else {
             at = &r->next;
@@ -504,9 +513,9 @@
 /* A host has answered once all its chunks came in order; else the next
  * fence makes it tell everything again. */
 static void
-note_chunk(struct own_round *r, size_t i, const dw_records *rs)
+count_chunk(struct own_takeover *r, size_t i, const dw_records *rs)
 {
-    struct own_wait *w = &r->waits[i];
+    struct own_fenced *w = &r->unanswered[i];
 
     if (rs->chunk == 0) {
         w->next_chunk = 0;
@@ -516,7 +525,7 @@
     }
     w->next_chunk++;
     if (rs->last) {
-        drop_wait(r, i);
+        remove_unanswered(r, i);
     }
 }
 
@@ -524,10 +533,10 @@
 own_records(struct own *o, uint64_t now, uint64_t from, const dw_records *rs,
     struct acts *out)
 {
-    struct own_round *r;
+    struct own_takeover *r;
 
     (void)out;
-    for (r = o->rounds; r != NULL && r->nonce != rs->nonce; r = r->next) {
+    for (r = o->takeovers; r != NULL && r->nonce != rs->nonce; r = r->next) {
     }
     if (r == NULL) {
         return;
@@ -536,13 +545,13 @@
         const dw_record *rec = &rs->records.records_val[i];
 
         if (!o->cfg.no_fence && rec->partition < VIEW_PARTS &&
-            takes_records(o, r, rec->partition)) {
-            jobs_record(o->jobs, now, rec);
+            accepts_records(o, r, rec->partition)) {
+            jobs_restore_record(o->jobs, now, rec);
         }
     }
-    for (size_t i = r->wait_count; i > 0; i--) {
-        if (r->waits[i - 1].host == from) {
-            note_chunk(r, i - 1, rs);
+    for (size_t i = r->unanswered_count; i > 0; i--) {
+        if (r->unanswered[i - 1].host == from) {
+            count_chunk(r, i - 1, rs);
         }
     }
 }
@@ -553,8 +562,9 @@
 send_chunk(struct own *o, uint64_t now, uint32_t p, struct acts *out)
 {
     struct own_part *part = &o->parts[p];
-    dw_handover *h = &act_send(out, part->to, DW_HANDOVER)->dw_msg_u.handover;
-    uint64_t unsure = o->jobs->parts[p].unsure_until;
+    dw_handover *h =
+        &act_send(out, part->handover_to, DW_HANDOVER)->dw_msg_u.handover;
+    uint64_t unsure = o->jobs->parts[p].incomplete_until_ms;
 
     h->partition = p;
     h->epoch = part->nonce;
@@ -564,86 +574,88 @@
     h->jobs.jobs_len = jobs_export(o->jobs, now, p,
         (size_t)part->chunk * CHUNK_JOBS, h->jobs.jobs_val, CHUNK_JOBS);
     h->last = h->jobs.jobs_len < CHUNK_JOBS;
-    part->give_ms = now;
+    part->chunk_sent_ms = now;
 }
 
 static void
-begin_giving(
+begin_handover(
     struct own *o, uint64_t now, uint32_t p, uint64_t to, struct acts *out)
 {
     struct own_part *part = &o->parts[p];
 
-    set_state(o, p, OWN_GIVING);
-    part->to = to;
-    part->began_ms = now;
+    set_state(o, p, OWN_HANDING_OVER);
+    part->handover_to = to;
+    part->handover_start_ms = now;
     part->chunk = 0;
     part->nonce = ++o->nonce;
-    part->handed = false;
-    part->swapping = false;
-    jobs_gate(o->jobs, p, JOB_FROZEN);
+    part->transferred = false;
+    part->committing = false;
+    jobs_set_gate(o->jobs, p, JOB_FROZEN);
     send_chunk(o, now, p, out);
 }
 
 /* Taking a partition back is safe only while no swap was tried: a swap whose
  * answer was lost may still happen, and both would own it. */
 static void
-take_back(struct own *o, uint32_t p)
+abort_handover(struct own *o, uint32_t p)
 {
     set_state(o, p, OWN_OPEN);
-    jobs_gate(o->jobs, p, JOB_OPEN);
-    o->stats.give_ups++;
+    jobs_set_gate(o->jobs, p, JOB_OPEN);
+    o->stats.handovers_aborted++;
 }
 
 static void
-tend_giving(struct own *o, uint64_t now, uint32_t p, struct acts *out)
+advance_handover(struct own *o, uint64_t now, uint32_t p, struct acts *out)
 {
     struct own_part *part = &o->parts[p];
 
-    if (part->swapping) {
+    if (part->committing) {
         return;
     }
-    if (part->handed && mbr_state(o->mbr, part->to) != DW_M_DEAD) {
+    if (part->transferred &&
+        mbr_state(o->mbr, part->handover_to) != DW_M_DEAD) {
         return;
     }
-    if (now - part->began_ms >= o->cfg.give_up_ms ||
-        mbr_state(o->mbr, part->to) == DW_M_DEAD) {
-        take_back(o, p);
+    if (now - part->handover_start_ms >= o->cfg.handover_timeout_ms ||
+        mbr_state(o->mbr, part->handover_to) == DW_M_DEAD) {
+        abort_handover(o, p);
         return;
     }
-    if (now - part->give_ms >= o->cfg.resend_ms) {
+    if (now - part->chunk_sent_ms >= o->cfg.resend_ms) {
         send_chunk(o, now, p, out);
     }
 }
 
 static bool
-should_give(const struct own *o, uint32_t p, uint64_t *to)
+should_hand_over(const struct own *o, uint32_t p, uint64_t *to)
 {
     const struct own_part *part = &o->parts[p];
 
-    *to = o->want[p];
+    *to = o->targets[p];
     return part->state == OWN_OPEN && *to != 0 && *to != o->self &&
            mbr_state(o->mbr, *to) == DW_M_ALIVE;
 }
 
 static void
-give_some(struct own *o, uint64_t now, struct acts *out)
+start_handovers(struct own *o, uint64_t now, struct acts *out)
 {
     const struct view_member *me = view_member(o->view, o->self);
     bool leaving = me == NULL || !own_eligible(o, me);
-    size_t max = leaving ? o->cfg.leave_max : o->cfg.give_max;
-    size_t n = own_count(o, OWN_GIVING);
+    size_t max = leaving ? o->cfg.leaving_handover_max : o->cfg.handover_max;
+    size_t n = own_count(o, OWN_HANDING_OVER);
     uint64_t to;
 
     if (!o->view->have_map || n >= max || o->sync->down ||
-        (o->gave_rev == o->view->rev && now - o->gave_ms < TARGET_MS)) {
+        (o->handover_rev == o->view->rev &&
+            now - o->handover_ms < TARGET_INTERVAL_MS)) {
         return;
     }
-    o->gave_rev = o->view->rev;
-    o->gave_ms = now;
+    o->handover_rev = o->view->rev;
+    o->handover_ms = now;
     own_refresh_targets(o, now);
     for (uint32_t p = 0; p < VIEW_PARTS && n < max; p++) {
-        if (should_give(o, p, &to)) {
-            begin_giving(o, now, p, to, out);
+        if (should_hand_over(o, p, &to)) {
+            begin_handover(o, now, p, to, out);
             n++;
         }
     }
@@ -652,32 +664,33 @@
 /* All partitions that are handed go into one swap.  One whose answer was
  * lost is tried again, unchanged, until the map shows what became of it. */
 static void
-maybe_swap(struct own *o, uint64_t now, struct acts *out)
+commit_handovers(struct own *o, uint64_t now, struct acts *out)
 {
     struct view_part parts[VIEW_PARTS];
     uint64_t epoch = o->view->map_epoch + 1;
     bool fresh = false;
     size_t n = 0;
 
-    if (o->txn_out || !o->view->have_map || o->counts[OWN_GIVING] == 0) {
+    if (o->txn_pending || !o->view->have_map ||
+        o->counts[OWN_HANDING_OVER] == 0) {
         return;
     }
     memcpy(parts, o->view->parts, sizeof(parts));
     for (uint32_t p = 0; p < VIEW_PARTS; p++) {
         struct own_part *part = &o->parts[p];
 
-        if (part->state != OWN_GIVING || !part->handed) {
+        if (part->state != OWN_HANDING_OVER || !part->transferred) {
             continue;
         }
-        fresh |= !part->swapping;
-        parts[p].owner = part->to;
+        fresh |= !part->committing;
+        parts[p].owner = part->handover_to;
         parts[p].epoch = epoch;
         parts[p].nonce = part->nonce;
-        part->swapping = true;
+        part->committing = true;
         n++;
     }
-    if (n > 0 && (fresh || now - o->swapped_ms >= SWAP_AGAIN_MS)) {
-        o->swapped_ms = now;
+    if (n > 0 && (fresh || now - o->commit_sent_ms >= COMMIT_RETRY_MS)) {
+        o->commit_sent_ms = now;
         own_put_map(o, now, own_begin_map_txn(o, out), parts, epoch, NULL, 0);
     }
 }
@@ -694,21 +707,22 @@
         return;
     }
     if (part->in_from != from || part->in_nonce != nonce) {
-        jobs_drop(o->jobs, h->partition);
+        jobs_drop_partition(o->jobs, h->partition);
         o->incoming += part->in_from == 0;
         part->in_from = from;
         part->in_nonce = nonce;
         part->in_chunk = 0;
-        part->in_whole = false;
+        part->in_complete = false;
     }
-    if (h->chunk == part->in_chunk && !part->in_whole) {
+    if (h->chunk == part->in_chunk && !part->in_complete) {
         for (u_int i = 0; i < h->jobs.jobs_len; i++) {
             jobs_import(o->jobs, now, h->partition, &h->jobs.jobs_val[i]);
         }
         part->in_chunk++;
-        part->in_whole = h->last;
-        part->in_ms = now;
-        part->in_unsure = h->unsure_ms > 0 ? now + h->unsure_ms : 0;
+        part->in_complete = h->last;
+        part->in_received_ms = now;
+        part->in_incomplete_until_ms =
+            h->unsure_ms > 0 ? now + h->unsure_ms : 0;
     }
     if (h->chunk >= part->in_chunk) {
         return;
@@ -726,14 +740,14 @@
 {
     struct own_part *part = &o->parts[h->partition % VIEW_PARTS];
 
-    if (h->partition >= VIEW_PARTS || part->state != OWN_GIVING ||
-        part->to != from || h->epoch != part->nonce ||
-        h->chunk != part->chunk || part->handed) {
+    if (h->partition >= VIEW_PARTS || part->state != OWN_HANDING_OVER ||
+        part->handover_to != from || h->epoch != part->nonce ||
+        h->chunk != part->chunk || part->transferred) {
         return;
     }
     if (h->last) {
-        part->handed = true;
-        maybe_swap(o, now, out);
+        part->transferred = true;
+        commit_handovers(o, now, out);
         return;
     }
     part->chunk++;
@@ -747,8 +761,8 @@
     char key[128];
     struct txn *t;
 
-    if (me == NULL || o->txn_out || !o->view->have_map ||
-        now - o->planned_ms < o->cfg.plan_ms) {
+    if (me == NULL || o->txn_pending || !o->view->have_map ||
+        now - o->planned_ms < o->cfg.plan_interval_ms) {
         return;
     }
     o->planned_ms = now;
@@ -760,14 +774,14 @@
 }
 
 static void
-drop_stale_import(struct own *o, uint64_t now, uint32_t p)
+expire_incoming(struct own *o, uint64_t now, uint32_t p)
 {
     struct own_part *part = &o->parts[p];
 
     if (part->in_from != 0 && part->owner != o->self &&
-        now - part->in_ms >= IN_MS) {
-        jobs_drop(o->jobs, p);
-        end_incoming(o, p);
+        now - part->in_received_ms >= INCOMING_TIMEOUT_MS) {
+        jobs_drop_partition(o->jobs, p);
+        clear_incoming(o, p);
     }
 }
 
@@ -777,24 +791,25 @@
     (void)now;
     (void)status;
     /* The map itself tells what became of it; see follow_part(). */
-    o->txn_out = false;
+    o->txn_pending = false;
 }
 
 void
 own_tick(struct own *o, uint64_t now, bool may_plan, struct acts *out)
 {
-    forget_losses(o, now);
-    tend_rounds(o, now, out);
+    expire_losses(o, now);
+    advance_takeovers(o, now, out);
     for (uint32_t p = 0;
-         p < VIEW_PARTS && o->counts[OWN_GIVING] + o->incoming > 0; p++) {
-        if (o->parts[p].state == OWN_GIVING) {
-            tend_giving(o, now, p, out);
+         p < VIEW_PARTS && o->counts[OWN_HANDING_OVER] + o->incoming > 0;
+         p++) {
+        if (o->parts[p].state == OWN_HANDING_OVER) {
+            advance_handover(o, now, p, out);
         }
-        drop_stale_import(o, now, p);
+        expire_incoming(o, now, p);
     }
     if (may_plan) {
         own_maybe_plan(o, now, out);
-        give_some(o, now, out);
-        maybe_swap(o, now, out);
+        start_handovers(o, now, out);
+        commit_handovers(o, now, out);
     }
 }
--- a/own.h
+++ b/own.h
@@ -28,19 +28,19 @@
 #endif
 
 struct own_cfg {
-    uint32_t quiet_ms;   /* T and a margin: a lost owner is silent after */
-    uint32_t record_ms;  /* W */
-    uint32_t resend_ms;  /* fences and hand-overs */
-    uint32_t plan_ms;    /* least time between two plans */
-    uint32_t steady_ms;  /* a member must live this long before partitions
-                            are handed to it */
-    uint32_t give_max;   /* partitions in hand-over at once */
-    uint32_t leave_max;  /* the same while leaving */
-    uint32_t give_up_ms; /* an unanswered hand-over is taken back */
-    bool no_fence;       /* tests only: what the fence is for */
+    uint32_t quiet_ms;     /* T and a margin: a lost owner is silent after */
+    uint32_t retention_ms; /* W */
+    uint32_t resend_ms;    /* fences and hand-overs */
+    uint32_t plan_interval_ms; /* least time between two plans */
+    uint32_t stable_ms;    /* a member must live this long before partitions
+                              are handed to it */
+    uint32_t handover_max; /* partitions in hand-over at once */
+    uint32_t leaving_handover_max; /* the same while leaving */
+    uint32_t handover_timeout_ms;  /* an unanswered hand-over is taken back */
+    bool no_fence;                 /* tests only: what the fence is for */
 };
 
-enum own_state { OWN_NOT, OWN_RECOVERING, OWN_OPEN, OWN_GIVING };
+enum own_state { OWN_NONE, OWN_RECOVERING, OWN_OPEN, OWN_HANDING_OVER };
 
 #define OWN_STATES 4
 
@@ -51,32 +51,32 @@
     enum own_state state;
     uint64_t owner; /* as of the map last seen */
     uint64_t epoch;
-    uint64_t quiet_at; /* earlier owners are silent from then on */
+    uint64_t quiet_at_ms; /* earlier owners are silent from then on */
     /* giving */
-    uint64_t to;
-    uint64_t give_ms; /* when the last chunk was sent */
-    uint64_t began_ms;
+    uint64_t handover_to;
+    uint64_t chunk_sent_ms; /* when the last chunk was sent */
+    uint64_t handover_start_ms;
     uint32_t chunk;
     uint32_t nonce;
-    bool handed;   /* the new owner has everything */
-    bool swapping; /* a swap was tried; only the map can tell the rest */
+    bool transferred; /* the new owner has everything */
+    bool committing;  /* a swap was tried; only the map can tell the rest */
     /* taking */
     uint64_t in_from;
     uint32_t in_nonce;
     uint32_t in_chunk;
-    bool in_whole;
-    uint64_t in_unsure;
-    uint64_t in_ms;
+    bool in_complete;
+    uint64_t in_incomplete_until_ms;
+    uint64_t in_received_ms;
 };
 
 /* A host that was fenced, and how much of its answer has come. */
-struct own_wait {
+struct own_fenced {
     uint64_t host;
     uint32_t next_chunk;
 };
 
 /* One takeover: all partitions that came with one map. */
-struct own_round {
+struct own_takeover {
     uint64_t epoch;
     uint64_t rev;
     uint32_t nonce;
@@ -84,29 +84,29 @@
     uint64_t sent_ms;
     uint32_t *parts;
     size_t part_count;
-    struct own_wait *waits; /* hosts that have not answered */
-    size_t wait_count;
+    struct own_fenced *unanswered; /* hosts that have not answered */
+    size_t unanswered_count;
     size_t host_count;
-    uint64_t *gone; /* hosts that may hold records but are not listed */
-    size_t gone_count;
-    uint64_t prev; /* whose partitions these were */
-    bool mixed;    /* of several owners */
-    bool open;     /* if still kept, some records are missing */
-    struct own_round *next;
+    uint64_t *removed; /* hosts that may hold records but are not listed */
+    size_t removed_count;
+    uint64_t prev_owner; /* whose partitions these were */
+    bool mixed_owners;   /* of several owners */
+    bool opened;         /* if still kept, some records are missing */
+    struct own_takeover *next;
 };
 
 /* A member that went away within W. */
 struct own_loss {
     uint64_t id;
-    uint64_t ms;
+    uint64_t removed_ms;
 };
 
 struct own_stats {
     uint64_t plans;
     uint64_t takeovers;
-    uint64_t given;
+    uint64_t handed_over;
     uint64_t received;
-    uint64_t give_ups;
+    uint64_t handovers_aborted;
 };
 
 struct own {
@@ -119,28 +119,28 @@
     struct own_part parts[VIEW_PARTS];
     size_t counts[OWN_STATES]; /* of parts by state */
     size_t incoming;           /* parts that a hand-over is coming for */
-    bool orphans;              /* the map names owners that are gone */
+    bool has_orphans;          /* the map names owners that are gone */
     uint64_t map_epoch;        /* of the map last seen; 0 before the first */
     uint64_t map_mod;
-    struct own_round *rounds;
+    struct own_takeover *takeovers;
     uint32_t nonce;
     uint64_t planned_ms;
     uint64_t checked_ms;
     uint64_t target_rev;     /* view that want[] was computed for */
     uint64_t target_version; /* and states of members */
-    bool target_again;       /* some member was not steady yet */
+    bool targets_unstable;   /* some member was not steady yet */
     uint64_t target_ms;
-    uint64_t gave_rev; /* when hand-overs were last begun */
-    uint64_t gave_ms;
-    uint64_t want[VIEW_PARTS];
-    bool txn_out;
-    uint64_t swapped_ms;
+    uint64_t handover_rev; /* when hand-overs were last begun */
+    uint64_t handover_ms;
+    uint64_t targets[VIEW_PARTS];
+    bool txn_pending;
+    uint64_t commit_sent_ms;
     bool leaving;
     struct own_loss *losses;
     size_t loss_count;
-    uint64_t *known; /* agents of the last view */
-    size_t known_count;
-    uint64_t *seen_ms;
+    uint64_t *agents; /* agents of the last view */
+    size_t agent_count;
+    uint64_t *agent_seen_ms;
     struct own_stats stats;
 };
 
--- a/ownmap.c
+++ b/ownmap.c
@@ -5,16 +5,16 @@
 #include <string.h>
 
 /* Between two looks for dead owners. */
-#define CHECK_MS 50
+#define CHECK_INTERVAL_MS 50
 /* A member silent for longer does not speak for its domain. */
-#define HEARD_MS 3000
+#define HEARD_MAX_AGE_MS 3000
 
 static bool
-steady(const struct own *o, uint64_t now, const struct view_member *m)
+is_stable(const struct own *o, uint64_t now, const struct view_member *m)
 {
-    for (size_t i = 0; i < o->known_count; i++) {
-        if (o->known[i] == m->id) {
-            return now - o->seen_ms[i] >= o->cfg.steady_ms;
+    for (size_t i = 0; i < o->agent_count; i++) {
+        if (o->agents[i] == m->id) {
+            return now - o->agent_seen_ms[i] >= o->cfg.stable_ms;
         }
     }
     return false;
@@ -35,7 +35,7 @@
 
 /* The eligible member with the highest score for a partition. */
 static uint64_t
-best_for(const struct own *o, const struct view_member **ms, size_t n,
+best_owner(const struct own *o, const struct view_member **ms, size_t n,
     uint32_t partition)
 {
     const struct view_member *best = NULL;
@@ -63,7 +63,7 @@
     size_t n = 0;
 
     for (m = o->view->members; m != NULL; m = m->hh.next) {
-        if (own_eligible(o, m) && (!only_steady || steady(o, now, m))) {
+        if (own_eligible(o, m) && (!only_steady || is_stable(o, now, m))) {
             ms[n++] = m;
         }
     }
@@ -82,15 +82,15 @@
 
     if (o->target_ms != 0 && o->target_rev == o->view->rev &&
         o->target_version == o->mbr->version &&
-        (!o->target_again || now - o->target_ms < TARGET_MS)) {
+        (!o->targets_unstable || now - o->target_ms < TARGET_INTERVAL_MS)) {
         return;
     }
     all = eligible_list(o, now, false, &ms);
     free(ms);
     n = eligible_list(o, now, true, &ms);
-    o->target_again = n != all;
+    o->targets_unstable = n != all;
     for (uint32_t p = 0; p < VIEW_PARTS; p++) {
-        o->want[p] = best_for(o, ms, n, p);
+        o->targets[p] = best_owner(o, ms, n, p);
     }
     free(ms);
     o->target_rev = o->view->rev;
@@ -103,16 +103,16 @@
 /* By a message of its own, not just not held dead yet: a process cut off
  * finds out about one peer after the other. */
 static bool
-heard_lately(const struct own *o, uint64_t now, uint64_t id)
+heard_recently(const struct own *o, uint64_t now, uint64_t id)
 {
     const struct mbr_peer *p = mbr_peer(o->mbr, id);
 
-    return id == o->self ||
-           (p != NULL && p->heard_ms != 0 && now - p->heard_ms < HEARD_MS);
+    return id == o->self || (p != NULL && p->heard_ms != 0 &&
+                                now - p->heard_ms < HEARD_MAX_AGE_MS);
 }
 
 static bool
-hears_majority(const struct own *o, uint64_t now)
+hears_domain_majority(const struct own *o, uint64_t now)
 {
     const char *names[SYNC_DOMAINS_MAX];
     size_t total = view_domains(o->view, names, SYNC_DOMAINS_MAX);
@@ -123,7 +123,7 @@
 
         for (m = o->view->members; m != NULL; m = m->hh.next) {
             if (strcmp(m->domain, names[i]) == 0 &&
-                heard_lately(o, now, m->id)) {
+                heard_recently(o, now, m->id)) {
                 heard++;
                 break;
             }
@@ -138,7 +138,7 @@
     struct txn *t = act_txn(out, OWN_TXN_MAP);
 
     txn_compare(t, VIEW_MAP, o->view->have_map ? o->view->map_mod : 0);
-    o->txn_out = true;
+    o->txn_pending = true;
     return t;
 }
 
@@ -158,7 +158,7 @@
     }
     for (size_t i = 0; i < o->loss_count && n < VIEW_LOSSES; i++) {
         losses[n].id = o->losses[i].id;
-        losses[n++].age_ms = (uint32_t)(now - o->losses[i].ms);
+        losses[n++].age_ms = (uint32_t)(now - o->losses[i].removed_ms);
     }
     view_format_map(parts, epoch, losses, n, &b);
     txn_put(t, VIEW_MAP, b.p);
@@ -177,7 +177,7 @@
 
 /* Returns how many agents among them, and lists these. */
 static size_t
-delete_dead(struct own *o, struct txn *t, uint64_t *agents)
+delete_dead_members(struct own *o, struct txn *t, uint64_t *agents)
 {
     const struct view_member *m;
     char key[128];
@@ -197,7 +197,7 @@
 }
 
 static bool
-any_dead(const struct own *o)
+any_member_dead(const struct own *o)
 {
     const struct view_member *m;
 
@@ -211,7 +211,7 @@
 
 /* The owner is not a member or is held dead. */
 static bool
-orphaned(const struct own *o, uint64_t owner)
+is_orphaned(const struct own *o, uint64_t owner)
 {
     return view_member(o->view, owner) == NULL ||
            mbr_state(o->mbr, owner) == DW_M_DEAD;
@@ -220,7 +220,7 @@
 static bool
 needs_plan(const struct own *o)
 {
-    return !o->view->have_map || o->orphans || any_dead(o);
+    return !o->view->have_map || o->has_orphans || any_member_dead(o);
 }
 
 static bool
@@ -235,8 +235,8 @@
 }
 
 static void
-plan(struct own *o, uint64_t now, const struct view_member **ms, size_t n,
-    struct acts *out)
+write_plan(struct own *o, uint64_t now, const struct view_member **ms,
+    size_t n, struct acts *out)
 {
     struct view_part parts[VIEW_PARTS];
     uint64_t dead[VIEW_LOSSES];
@@ -246,14 +246,14 @@
 
     memcpy(parts, o->view->parts, sizeof(parts));
     for (uint32_t p = 0; p < VIEW_PARTS; p++) {
-        if (o->view->have_map && !orphaned(o, parts[p].owner)) {
+        if (o->view->have_map && !is_orphaned(o, parts[p].owner)) {
             continue;
         }
-        parts[p].owner = best_for(o, ms, n, p);
+        parts[p].owner = best_owner(o, ms, n, p);
         parts[p].epoch = epoch;
         parts[p].nonce = 0;
     }
-    dead_count = delete_dead(o, t, dead);
+    dead_count = delete_dead_members(o, t, dead);
     for (size_t i = 0; i < dead_count; i++) {
         act_event(out, "what=remove_dead agent=%016" PRIx64, dead[i]);
     }
@@ -272,19 +272,19 @@
     const struct view_member **ms;
     size_t n;
 
-    if (o->txn_out || now - o->planned_ms < o->cfg.plan_ms ||
-        now - o->checked_ms < CHECK_MS) {
+    if (o->txn_pending || now - o->planned_ms < o->cfg.plan_interval_ms ||
+        now - o->checked_ms < CHECK_INTERVAL_MS) {
         return;
     }
     o->checked_ms = now;
     if (view_member(o->view, o->self) == NULL || !needs_plan(o) ||
-        (o->view->have_map && !hears_majority(o, now))) {
+        (o->view->have_map && !hears_domain_majority(o, now))) {
         return;
     }
     o->planned_ms = now;
     n = eligible_list(o, now, false, &ms);
     if (is_lowest(o, ms, n)) {
-        plan(o, now, ms, n, out);
+        write_plan(o, now, ms, n, out);
     }
     free(ms);
 }
--- a/place.c
+++ b/place.c
@@ -6,7 +6,7 @@
 
 #define SAMPLE_ROUNDS 4
 /* Hosts whose loads are summed up for a decision to move. */
-#define LOOK_MAX 64
+#define EXAMINED_MAX 64
 /* A load this old is asked for anew while tasks wait. */
 #define ASK_MS 100
 
@@ -18,11 +18,11 @@
 {
     memset(p, 0, sizeof(*p));
     p->cfg = *cfg;
-    p->seed = seed;
+    p->rng_state = seed;
 }
 
 static void
-drop(struct place *p, struct place_host *h)
+remove_host(struct place *p, struct place_host *h)
 {
     HASH_DEL(p->hosts, h);
     free(h);
@@ -35,14 +35,14 @@
     struct place_host *tmp;
 
     HASH_ITER (hh, p->hosts, h, tmp) {
-        drop(p, h);
+        remove_host(p, h);
     }
-    free(p->list);
-    p->list = NULL;
+    free(p->in_service);
+    p->in_service = NULL;
 }
 
 static struct place_host *
-find(const struct place *p, uint64_t id)
+find_host(const struct place *p, uint64_t id)
 {
     struct place_host *h;
 
@@ -51,11 +51,11 @@
 }
 
 static void
-follow(struct place *p, const struct view *v, const struct mbr *m,
+sync_member(struct place *p, const struct view *v, const struct mbr *m,
     const struct view_member *vm)
 {
     const struct mbr_peer *peer = mbr_peer(m, vm->id);
-    struct place_host *h = find(p, vm->id);
+    struct place_host *h = find_host(p, vm->id);
 
     if (h == NULL) {
         h = dw_zero(1, sizeof(*h));
@@ -77,7 +77,7 @@
 }
 
 void
-place_sync(struct place *p, const struct view *v, const struct mbr *m)
+place_sync_members(struct place *p, const struct view *v, const struct mbr *m)
 {
     const struct view_member *vm;
     struct place_host *h;
@@ -86,19 +86,20 @@
 
     HASH_ITER (hh, p->hosts, h, tmp) {
         if (view_member(v, h->id) == NULL) {
-            drop(p, h);
+            remove_host(p, h);
         }
     }
     for (vm = v->members; vm != NULL; vm = vm->hh.next) {
         if (vm->role == VIEW_AGENT) {
-            follow(p, v, m, vm);
+            sync_member(p, v, m, vm);
         }
     }
-    p->list = dw_grow(p->list, HASH_COUNT(p->hosts) * sizeof(p->list[0]));
+    p->in_service = dw_grow(
+        p->in_service, HASH_COUNT(p->hosts) * sizeof(p->in_service[0]));
     for (h = p->hosts; h != NULL; h = h->hh.next) {
         if (h->in_service) {
             h->index = (uint32_t)n;
-            p->list[n++] = h;
+            p->in_service[n++] = h;
         }
     }
     p->count = n;
@@ -116,39 +117,40 @@
     uint64_t n = 0;
 
     for (size_t i = 0; i < p->count && n < 64; i++) {
-        if (p->list[i] != h && p->list[i]->have_load) {
-            sum += p->list[i]->load.error_permille;
+        if (p->in_service[i] != h && p->in_service[i]->have_load) {
+            sum += p->in_service[i]->load.error_permille;
             n++;
         }
     }
-    return n > 0 && h->load.error_permille >= p->cfg.sick_permille &&
+    return n > 0 && h->load.error_permille >= p->cfg.probation_permille &&
            h->load.error_permille > 2 * (sum / n) + 100;
 }
 
 static void
-judge(struct place *p, uint64_t now, struct place_host *h)
+update_probation(struct place *p, uint64_t now, struct place_host *h)
 {
     if (!far_above_fleet(p, h)) {
-        h->sick_ms = 0;
-        h->sick_until = 0;
+        h->probation_ms = 0;
+        h->probation_until_ms = 0;
         h->probing = false;
         return;
     }
-    if (h->sick_until > now) {
+    if (h->probation_until_ms > now) {
         return;
     }
-    h->sick_ms = h->sick_ms == 0 ? p->cfg.sick_min_ms : 2 * h->sick_ms;
-    if (h->sick_ms > p->cfg.sick_max_ms) {
-        h->sick_ms = p->cfg.sick_max_ms;
+    h->probation_ms =
+        h->probation_ms == 0 ? p->cfg.probation_min_ms : 2 * h->probation_ms;
+    if (h->probation_ms > p->cfg.probation_max_ms) {
+        h->probation_ms = p->cfg.probation_max_ms;
     }
-    h->sick_until = now + h->sick_ms;
+    h->probation_until_ms = now + h->probation_ms;
     h->probing = true;
 }
 
 void
-place_load(struct place *p, uint64_t now, uint64_t id, const dw_load *load)
+place_set_load(struct place *p, uint64_t now, uint64_t id, const dw_load *load)
 {
-    struct place_host *h = find(p, id);
+    struct place_host *h = find_host(p, id);
 
     if (h == NULL) {
         return;
@@ -156,7 +158,7 @@
     h->load = *load;
     h->load_ms = now;
     h->have_load = true;
-    judge(p, now, h);
+    update_probation(p, now, h);
 }
 
 static int32_t
@@ -179,7 +181,7 @@
 }
 
 static bool
-holds(const struct place_host *h, const struct place_need *need)
+has_capacity(const struct place_host *h, const struct place_need *need)
 {
     return !h->have_load || (h->load.millicores >= need->millicores &&
                                 h->load.memory_mb >= need->memory_mb);
@@ -189,10 +191,10 @@
 usable(const struct place *p, uint64_t now, const struct place_host *h,
     const struct place_need *need)
 {
-    if (!h->in_service || !h->load.serving || !holds(h, need)) {
+    if (!h->in_service || !h->load.serving || !has_capacity(h, need)) {
         return false;
     }
-    if (h->sick_until > now || (h->probing && h->offered > 0)) {
+    if (h->probation_until_ms > now || (h->probing && h->offered > 0)) {
         return false;
     }
     if (need->guaranteed) {
@@ -204,7 +206,7 @@
 
 /* Higher is better; INT_MIN if the host cannot take the task now. */
 static int32_t
-rank(const struct place *p, uint64_t now, const struct place_host *h,
+score(const struct place *p, uint64_t now, const struct place_host *h,
     const struct place_need *need, uint64_t avoid)
 {
     int32_t n;
@@ -227,8 +229,8 @@
 static uint64_t
 next_random(struct place *p)
 {
-    p->seed = mix64(p->seed, 2);
-    return p->seed;
+    p->rng_state = mix64(p->rng_state, 2);
+    return p->rng_state;
 }
 
 static struct place_host *
@@ -240,8 +242,8 @@
     size_t start = p->count > 0 ? next_random(p) % p->count : 0;
 
     for (size_t i = 0; i < p->count; i++) {
-        struct place_host *h = p->list[(start + i) % p->count];
-        int32_t r = rank(p, now, h, need, avoid);
+        struct place_host *h = p->in_service[(start + i) % p->count];
+        int32_t r = score(p, now, h, need, avoid);
 
         if (r > best_rank) {
             best = h;
@@ -259,8 +261,8 @@
     int32_t best_rank = INT_MIN;
 
     for (uint32_t i = 0; i < p->cfg.sample * SAMPLE_ROUNDS; i++) {
-        struct place_host *h = p->list[next_random(p) % p->count];
-        int32_t r = rank(p, now, h, need, avoid);
+        struct place_host *h = p->in_service[next_random(p) % p->count];
+        int32_t r = score(p, now, h, need, avoid);
 
         if (r > best_rank) {
             best = h;
@@ -274,7 +276,7 @@
 }
 
 static struct place_host *
-pick_free(struct place *p, uint64_t now, const struct place_need *need,
+pick_most_free(struct place *p, uint64_t now, const struct place_need *need,
     uint64_t avoid)
 {
     return p->count <= p->cfg.scan_max ? scan(p, now, need, avoid)
@@ -286,7 +288,7 @@
     struct place *p, uint64_t now, const struct place_need *need, size_t start)
 {
     for (size_t i = 0; i < p->count; i++) {
-        struct place_host *h = p->list[(start + i) % p->count];
+        struct place_host *h = p->in_service[(start + i) % p->count];
 
         if (usable(p, now, h, need)) {
             return h;
@@ -304,17 +306,17 @@
 }
 
 static struct place_host *
-pick_round(struct place *p, uint64_t now, const struct place_need *need,
+pick_round_robin(struct place *p, uint64_t now, const struct place_need *need,
     uint64_t avoid)
 {
     (void)avoid;
-    return next_usable(p, now, need, p->turn++ % p->count);
+    return next_usable(p, now, need, p->next_index++ % p->count);
 }
 
 static const pick_fn pickers[] = {
-    [PLACE_FREE] = pick_free,
+    [PLACE_MOST_FREE] = pick_most_free,
     [PLACE_RANDOM] = pick_random,
-    [PLACE_ROUND] = pick_round,
+    [PLACE_ROUND_ROBIN] = pick_round_robin,
 };
 
 uint64_t
@@ -335,9 +337,9 @@
 }
 
 void
-place_settled(struct place *p, uint64_t id, uint32_t n)
+place_offer_settled(struct place *p, uint64_t id, uint32_t n)
 {
-    struct place_host *h = find(p, id);
+    struct place_host *h = find_host(p, id);
 
     if (h != NULL) {
         h->offered = h->offered > n ? h->offered - n : 0;
@@ -345,20 +347,20 @@
 }
 
 void
-place_ran(struct place *p, uint32_t ms)
+place_task_ended(struct place *p, uint32_t ms)
 {
     p->mean_run_ms =
         p->mean_run_ms == 0 ? ms : (7 * (p->mean_run_ms / 8) + ms / 8);
 }
 
 size_t
-place_stale(struct place *p, uint64_t now, uint64_t *ids, size_t max)
+place_stale_hosts(struct place *p, uint64_t now, uint64_t *ids, size_t max)
 {
     size_t start = p->count > 0 ? next_random(p) % p->count : 0;
     size_t n = 0;
 
-    for (size_t i = 0; i < p->count && i < LOOK_MAX && n < max; i++) {
-        const struct place_host *h = p->list[(start + i) % p->count];
+    for (size_t i = 0; i < p->count && i < EXAMINED_MAX && n < max; i++) {
+        const struct place_host *h = p->in_service[(start + i) % p->count];
 
         if (now - h->load_ms > ASK_MS) {
             ids[n++] = h->id;
@@ -368,7 +370,7 @@
 }
 
 /* Older news is worth no bytes. */
-#define HINT_MS 300
+#define HINT_MAX_AGE_MS 300
 
 void
 place_fill_hints(struct place *p, uint64_t now, uint64_t to, dw_hints *hints)
@@ -381,10 +383,11 @@
     }
     hints->dw_hints_val = dw_zero(p->cfg.hints, sizeof(dw_hint));
     for (size_t i = 0; i < p->count && n < p->cfg.hints; i++) {
-        const struct place_host *h = p->list[(start + i) % p->count];
+        const struct place_host *h = p->in_service[(start + i) % p->count];
         dw_hint *o = &hints->dw_hints_val[n];
 
-        if (h->id == to || !h->have_load || now - h->load_ms > HINT_MS) {
+        if (h->id == to || !h->have_load ||
+            now - h->load_ms > HINT_MAX_AGE_MS) {
             continue;
         }
         o->id = h->id;
@@ -396,11 +399,11 @@
 }
 
 void
-place_take_hints(struct place *p, uint64_t now, const dw_hints *hints)
+place_apply_hints(struct place *p, uint64_t now, const dw_hints *hints)
 {
     for (u_int i = 0; i < hints->dw_hints_len; i++) {
         const dw_hint *m = &hints->dw_hints_val[i];
-        struct place_host *h = find(p, m->id);
+        struct place_host *h = find_host(p, m->id);
 
         if (h == NULL || !h->have_load || now < m->age_ms ||
             now - m->age_ms <= h->load_ms) {
@@ -416,7 +419,7 @@
 place_never_fits(const struct place *p, const struct place_need *need)
 {
     for (size_t i = 0; i < p->count; i++) {
-        if (holds(p->list[i], need)) {
+        if (has_capacity(p->in_service[i], need)) {
             return false;
         }
     }
@@ -426,7 +429,7 @@
 bool
 place_in_service(const struct place *p, uint64_t id)
 {
-    const struct place_host *h = find(p, id);
+    const struct place_host *h = find_host(p, id);
 
     return h != NULL && h->in_service;
 }
@@ -434,7 +437,7 @@
 int32_t
 place_free_slots(const struct place *p, uint64_t now, uint64_t id)
 {
-    const struct place_host *h = find(p, id);
+    const struct place_host *h = find_host(p, id);
 
     return h != NULL ? free_slots(p, now, h) : 0;
 }
@@ -442,19 +445,19 @@
 bool
 place_should_move(struct place *p, uint64_t now, uint64_t than)
 {
-    size_t n = p->count < LOOK_MAX ? p->count : LOOK_MAX;
+    size_t n = p->count < EXAMINED_MAX ? p->count : EXAMINED_MAX;
     uint64_t queued = 1;
     uint64_t free_elsewhere = 0;
 
     for (size_t i = 0; i < n; i++) {
-        const struct place_host *h = p->list[i];
+        const struct place_host *h = p->in_service[i];
         int32_t slots = free_slots(p, now, h);
 
         if (!h->have_load || now - h->load_ms > p->cfg.stale_ms) {
             continue;
         }
         queued += h->load.queued;
-        if (h->id != than && h->load.serving && h->sick_until <= now &&
+        if (h->id != than && h->load.serving && h->probation_until_ms <= now &&
             slots > 0) {
             free_elsewhere += (uint64_t)slots;
         }
@@ -463,12 +466,12 @@
 }
 
 uint32_t
-place_slots(const struct place *p)
+place_total_slots(const struct place *p)
 {
     uint32_t n = 0;
 
     for (size_t i = 0; i < p->count; i++) {
-        n += p->list[i]->load.slots;
+        n += p->in_service[i]->load.slots;
     }
     return n;
 }
--- a/place.h
+++ b/place.h
@@ -21,21 +21,21 @@
 #endif
 
 enum place_policy {
-    PLACE_FREE,   /* most free slots; the default */
-    PLACE_RANDOM, /* any host in service; to compare with */
-    PLACE_ROUND   /* each in turn; to compare with */
+    PLACE_MOST_FREE,  /* most free slots; the default */
+    PLACE_RANDOM,     /* any host in service; to compare with */
+    PLACE_ROUND_ROBIN /* each in turn; to compare with */
 };
 
 struct place_cfg {
     enum place_policy policy;
-    uint32_t queue_allow;   /* tasks offered beyond a host's free slots */
-    uint32_t sample;        /* hosts looked at in a large fleet */
-    uint32_t scan_max;      /* fleets up to this size are scanned */
-    uint32_t stale_ms;      /* an older load is taken to have drained */
-    uint32_t hints;         /* loads of other hosts told in a message */
-    uint32_t sick_permille; /* tasks failing at a host on probation */
-    uint32_t sick_min_ms;   /* first probation; doubles each time */
-    uint32_t sick_max_ms;
+    uint32_t queue_allow;        /* tasks offered beyond a host's free slots */
+    uint32_t sample;             /* hosts looked at in a large fleet */
+    uint32_t scan_max;           /* fleets up to this size are scanned */
+    uint32_t stale_ms;           /* an older load is taken to have drained */
+    uint32_t hints;              /* loads of other hosts told in a message */
+    uint32_t probation_permille; /* tasks failing at a host on probation */
+    uint32_t probation_min_ms;   /* first probation; doubles each time */
+    uint32_t probation_max_ms;
 };
 
 struct place_host {
@@ -46,8 +46,8 @@
     uint64_t load_ms;
     dw_load load;
     uint32_t offered; /* items whose reply has not come */
-    uint64_t sick_until;
-    uint32_t sick_ms;
+    uint64_t probation_until_ms;
+    uint32_t probation_ms;
     bool probing;
     uint32_t index;
     UT_hash_handle hh;
@@ -56,10 +56,10 @@
 struct place {
     struct place_cfg cfg;
     struct place_host *hosts;
-    struct place_host **list;
+    struct place_host **in_service;
     size_t count;
-    size_t turn;
-    uint64_t seed;
+    size_t next_index;
+    uint64_t rng_state;
     uint32_t mean_run_ms; /* of tasks that ended lately */
 };
 
@@ -74,23 +74,25 @@
 void place_init(struct place *p, const struct place_cfg *cfg, uint64_t seed);
 void place_free(struct place *p);
 /* Follow members, failure domains and failure detection. */
-void place_sync(struct place *p, const struct view *v, const struct mbr *m);
-void place_load(
+void place_sync_members(
+    struct place *p, const struct view *v, const struct mbr *m);
+void place_set_load(
     struct place *p, uint64_t now, uint64_t id, const dw_load *load);
 /* A task has run for so long; loads are believed in accordingly. */
-void place_ran(struct place *p, uint32_t ms);
+void place_task_ended(struct place *p, uint32_t ms);
 /* Hosts whose load is not known as of lately, at most max of them. */
-size_t place_stale(struct place *p, uint64_t now, uint64_t *ids, size_t max);
+size_t place_stale_hosts(
+    struct place *p, uint64_t now, uint64_t *ids, size_t max);
 /* Loads heard lately, for another owner that may not have heard them. */
 void place_fill_hints(
     struct place *p, uint64_t now, uint64_t to, dw_hints *hints);
-void place_take_hints(struct place *p, uint64_t now, const dw_hints *hints);
+void place_apply_hints(struct place *p, uint64_t now, const dw_hints *hints);
 /* Choose a host and count the task as offered there; 0 if none has room.
  * `avoid` is chosen only where no other host has a free slot. */
 uint64_t place_pick(struct place *p, uint64_t now,
     const struct place_need *need, uint64_t avoid);
 /* A reply to `n` offered items came, or never will. */
-void place_settled(struct place *p, uint64_t id, uint32_t n);
+void place_offer_settled(struct place *p, uint64_t id, uint32_t n);
 
 /* Queries. */
 /* No host in service could ever hold the task, and all are known. */
@@ -105,7 +107,7 @@
  */
 bool place_should_move(struct place *p, uint64_t now, uint64_t than);
 /* Slots of all hosts in service. */
-uint32_t place_slots(const struct place *p);
+uint32_t place_total_slots(const struct place *p);
 
 #ifdef __cplusplus
 }
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -346,7 +346,7 @@
 Fleet::run_task(size_t i, uint64_t id, uint64_t ref)
 {
     Proc &p = *procs[i];
-    const host_run *r = host_find(&p.n.host, ref);
+    const host_run *r = host_find_run(&p.n.host, ref);
 
     if (r == nullptr) {
         return;
--- a/test/work-test.cc
+++ b/test/work-test.cc
@@ -100,7 +100,7 @@
     size_t failed = 0;
 
     f.configure = [probation](node_cfg &c) {
-        c.place.sick_permille = probation ? 500 : 100000;
+        c.place.probation_permille = probation ? 500 : 100000;
     };
     ready(f);
     f.agent(2).fails_all = true;
