--- a/job.c
+++ b/job.c
@@ -6,10 +6,17 @@
 #include <string.h>
 #include <utlist.h>
 
-/* Tasks placed for one customer before the next has its turn. */
+/* Tasks placed for one customer before another is considered. */
 #define QUANTUM_TASKS 64
+/* Virtual time of one task at weight 1. */
 #define VTIME_UNIT 1000000U
+/* Between two scans of the running jobs. */
 #define SCAN_MS 50
+/* Between resends of the revokes of a stopping job. */
+#define REVOKE_RESEND_MS 500
+/* Unexpired records visited in one search for expired ones. */
+#define EXPIRY_SCAN_MAX 256
+/* Period over which the drain rate is measured. */
 #define RATE_WINDOW_MS 500
 
 void
@@ -159,7 +166,7 @@
     return n;
 }
 
-/* --- answers --- */
+/* --- answering --- */
 
 bool
 job_state_is_final(dw_tstate st)
@@ -174,12 +181,12 @@
     return st == DW_T_OFFERED || st == DW_T_QUEUED || st == DW_T_RUNNING;
 }
 
-/* A failed job's answer tells what ran but carries no results: an answer is
- * whole or it is none. */
+/* The answer of a failed job reports each task's state but no results: an
+ * answer is complete or failed, never partial. */
 static void
 fill_outcomes(const struct job *job, dw_answer *a)
 {
-    bool whole = job->state == DW_A_COMPLETE && job->answer_kept;
+    bool complete = job->state == DW_A_COMPLETE && job->answer_kept;
 
     a->tasks.tasks_val = dw_zero(job->task_count, sizeof(dw_outcome));
     a->tasks.tasks_len = job->task_count;
@@ -188,8 +195,9 @@
 
         *o = job->tasks[i].outcome;
         o->index = i;
-        o->body = whole ? str_to_bytes(str_bytes(&job->tasks[i].outcome.body))
-                        : str_to_bytes(STR(""));
+        o->body = complete
+                      ? str_to_bytes(str_bytes(&job->tasks[i].outcome.body))
+                      : str_to_bytes(STR(""));
     }
 }
 
@@ -245,7 +253,6 @@
     }
 }
 
-/* False if this request waits already. */
 bool
 job_attach(struct jobs *j, struct job *job, uint64_t entry, uint64_t request)
 {
@@ -264,7 +271,7 @@
     return true;
 }
 
-/* --- ends --- */
+/* --- ending --- */
 
 static dw_astate
 final_state(const struct job *job)
@@ -282,7 +289,6 @@
     return unstarted == job->task_count ? DW_A_NOT_RUN : DW_A_FAILED;
 }
 
-/* Make room by dropping the oldest kept answers; their jobs stay known. */
 void
 job_trim_answers(struct jobs *j)
 {
@@ -326,7 +332,8 @@
     job->waiting = 0;
     job->state = final_state(job);
     if (job->state == DW_A_NOT_RUN && !j->may_admit) {
-        /* A new owner may have run this key meanwhile; see own.h. */
+        /* With a stale view, a new owner may have taken over and run this
+         * key; see own.h. */
         job->state = DW_A_UNKNOWN;
         job_set_reason(job, "not_fresh");
     }
@@ -362,7 +369,7 @@
     }
 }
 
-/* Move a task between states and keep the counts that follow from them. */
+/* Changes a task's state and the counts derived from it. */
 static void
 set_task_state(struct jobs *j, struct job *job, struct job_task *t,
     uint64_t now, dw_tstate state)
@@ -413,7 +420,7 @@
     dst->payload = str_to_bytes(str_bytes(&src->payload));
 }
 
-/* Offer the tasks of `picked` that go to one host, in one message. */
+/* Offers those tasks of `picked` that go to `host`, in one message. */
 static void
 send_offer(struct jobs *j, uint64_t now, struct job *job, uint64_t host,
     const uint32_t *picked, u_int n, struct acts *out)
@@ -475,9 +482,9 @@
 }
 
 /*
- * The first task goes to another worker than the owner's, where there is
- * one: if this process and its worker die together, a new owner must still
- * find a start record of the job, or it could take a resubmission for new.
+ * The first task goes to another host than the owner's own, where there is
+ * one: if this process and its host die together, a new owner must still
+ * find a start record of the job, or it could admit a resubmission as new.
  */
 static u_int
 place_tasks(struct jobs *j, uint64_t now, struct job *job, uint32_t *picked)
@@ -580,9 +587,11 @@
 
 /* --- stopping --- */
 
+/* Revokes the job's tasks at a host; with `stop` also running ones.  With
+ * `only_revoking`, only those that the caller has set to revoking. */
 static void
 send_revoke(struct jobs *j, uint64_t now, struct job *job, uint64_t host,
-    bool stop, bool moves, struct acts *out)
+    bool stop, bool only_revoking, struct acts *out)
 {
     dw_revoke *r = &act_send(out, host, DW_REVOKE)->dw_msg_u.revoke;
 
@@ -597,7 +606,7 @@
         dw_mark *m = &r->marks.marks_val[r->marks.marks_len];
 
         if (t->host != host || !job_state_is_outstanding(t->outcome.state) ||
-            (moves && !t->revoking)) {
+            (only_revoking && !t->revoking)) {
             continue;
         }
         m->index = i;
@@ -608,7 +617,7 @@
     }
 }
 
-/* One revoke to each host that still has a task of the job. */
+/* Sends one revoke to each host that has an outstanding task of the job. */
 static void
 revoke_all(
     struct jobs *j, uint64_t now, struct job *job, bool stop, struct acts *out)
@@ -626,7 +635,7 @@
     }
 }
 
-/* Start nothing more of the job; with `stop` also stop what runs. */
+/* Starts no more tasks of the job; with `stop` also stops running ones. */
 static void
 stop_job(struct jobs *j, uint64_t now, struct job *job, const char *reason,
     bool stop, struct acts *out)
@@ -689,7 +698,7 @@
         j, job, t, now, job->stopping ? DW_T_NOT_STARTED : DW_T_WAITING);
 }
 
-/* A reply speaks of one attempt at one host; any other is out of date. */
+/* Ignores a mark that is not about the task's current attempt and host. */
 static void
 apply_mark(struct jobs *j, uint64_t now, uint64_t from, struct job *job,
     const dw_mark *m)
@@ -762,7 +771,7 @@
     }
 }
 
-/* The new owner of a job known from start records only learns the rest. */
+/* An outcome that arrives for a job known from start records only. */
 static void
 amend_recovered(struct job *job, const dw_outcome *o)
 {
@@ -798,7 +807,7 @@
     place_set_load(j->place, now, from, &r->load);
     if (r->partition >= VIEW_PARTS ||
         j->parts[r->partition].gate != JOB_OPEN) {
-        /* Not acknowledged: the host sends it to whoever owns it next. */
+        /* Not acknowledged: the host resends it to the next owner. */
         return;
     }
     job = job_find(j, str_bytes(&r->customer), str_bytes(&r->key));
@@ -817,7 +826,7 @@
     job_dispatch(j, now, out);
 }
 
-/* --- time and losses --- */
+/* --- timers and lost hosts --- */
 
 typedef void (*job_fn)(struct jobs *j, uint64_t now, struct job *job,
     uint64_t arg, struct acts *out);
@@ -886,7 +895,8 @@
     }
 }
 
-/* Late binding: a task queued at one host while another stands free. */
+/* Late binding: revokes tasks that are queued while other hosts have free
+ * slots.  One host per call, as a revoke goes to one host. */
 static void
 move_queued(struct jobs *j, uint64_t now, struct job *job, struct acts *out)
 {
@@ -911,6 +921,8 @@
     }
 }
 
+/* Past the deadline and the grace period: tasks still outstanding end as
+ * UNKNOWN. */
 static void
 finish_overdue(struct jobs *j, uint64_t now, struct job *job, struct acts *out)
 {
@@ -939,7 +951,8 @@
         return;
     }
     if (job->stopping) {
-        if (job->outstanding > 0 && (now - job->admitted_ms) % 500 < SCAN_MS) {
+        if (job->outstanding > 0 &&
+            (now - job->admitted_ms) % REVOKE_RESEND_MS < SCAN_MS) {
             revoke_all(
                 j, now, job, now >= job->deadline_ms || job->cancelled, out);
         }
@@ -956,13 +969,13 @@
 {
     struct job *job;
     struct job *tmp;
-    size_t looked = 0;
+    size_t unexpired = 0;
 
     HASH_ITER (hh, j->jobs, job, tmp) {
         if (job->state != DW_A_RUNNING && job->expires_ms <= now) {
             job_free(j, job);
         }
-        else if (++looked > 256) {
+        else if (++unexpired > EXPIRY_SCAN_MAX) {
             return;
         }
     }
@@ -978,9 +991,9 @@
         return;
     }
     rate = (uint32_t)((uint64_t)j->window_ended * 1000000 / ms);
-    /* Only while tasks wait all the time does the rate tell what the fleet
-     * can do for us; else it tells what was asked, and a few tasks on a quiet
-     * fleet would look like hours of waiting. */
+    /* The rate measures the fleet's capacity only if tasks waited all the
+     * time.  Otherwise it measures the demand, and a few tasks on an idle
+     * fleet would give an expected wait of hours. */
     if (j->window_idle) {
         rate = 0;
     }
--- a/jobadmit.c
+++ b/jobadmit.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <utlist.h>
 
-/* Record a refusal, so that a copy of the request on its way through
+/* Records a refusal, so that a copy of the request that arrives through
  * another entry gets the same answer and does not run. */
 static void
 record_refusal(struct jobs *j, uint64_t now, const struct subkey *sk,
@@ -40,7 +40,8 @@
     return false;
 }
 
-/* The wait a new task would have, from what waits and how fast it drains. */
+/* Expected wait of a new task: waiting tasks over the drain rate; 0 if not
+ * known. */
 static uint64_t
 expected_wait_ms(const struct jobs *j)
 {
@@ -50,6 +51,7 @@
     return (uint64_t)j->waiting * 1000000 / j->drain_rate_milli;
 }
 
+/* The customer has a guaranteed slot that no outstanding task uses. */
 static bool
 has_unused_guarantee(const struct jobs *j, const dw_bytes *name)
 {
@@ -65,7 +67,7 @@
     return job_below_guarantee(j, c);
 }
 
-/* An entry's reason, of those we know. */
+/* The reason that the entry gave for a lookup, if it is a known one. */
 static const char *
 lookup_reason(const dw_submit *s)
 {
@@ -80,7 +82,7 @@
     return LEND_OVER;
 }
 
-/* NULL if the job may be admitted, else why not. */
+/* NULL if the job may be admitted. */
 static const char *
 refusal_reason(const struct jobs *j, const dw_submit *s)
 {
@@ -93,7 +95,7 @@
     if (j->waiting + s->tasks.tasks_len > j->cfg.waiting_max) {
         return "overloaded";
     }
-    /* What waits belongs to others: guaranteed slots do not queue for it. */
+    /* Guaranteed slots do not wait behind other customers' tasks. */
     if (!j->cfg.no_early_refusal && !has_unused_guarantee(j, &s->customer) &&
         expected_wait_ms(j) > s->deadline_ms) {
         return "deadline_cannot_be_met";
@@ -130,19 +132,19 @@
     job_dispatch(j, now, out);
 }
 
-/* The partition changed hands and some records of its past may be lost: a
- * key that is not known may have run, unless it was made afterwards. */
+/* After a takeover with records missing, an unknown key may have run under
+ * an earlier owner, unless it was created after that owner was silent. */
 static bool
 may_have_run(const struct jobs *j, uint64_t now, const struct job_part *p,
     struct str key)
 {
-    uint64_t made;
+    uint64_t created_wall_ms;
 
     if (p->incomplete_until_ms <= now) {
         return false;
     }
-    return !sk_uuid7_ms(key, &made) ||
-           made <= p->uuid7_cutoff_wall_ms + j->cfg.clock_skew_ms;
+    return !sk_uuid7_ms(key, &created_wall_ms) ||
+           created_wall_ms <= p->uuid7_cutoff_wall_ms + j->cfg.clock_skew_ms;
 }
 
 void
@@ -160,19 +162,21 @@
         job_answer_request(job, now, from, s->request, out);
         return;
     }
-    /* An entry that asks again hears that its request is in hand. */
+    /* A repeated request is answered RUNNING, so that the entry knows that
+     * it is registered. */
     if (s->poll || !job_attach(j, job, from, s->request)) {
         job_send_answer(
             from, s->request, s->partition, DW_A_RUNNING, 0, "", out);
     }
 }
 
+/* A submission or poll under a key without a record. */
 static void
 submit_unknown(struct jobs *j, uint64_t now, const struct subkey *sk,
     const dw_submit *s, uint64_t from, struct acts *out)
 {
     const struct job_part *p = &j->parts[s->partition];
-    const char *why;
+    const char *reason;
 
     if (may_have_run(j, now, p, sk_key(sk))) {
         j->stats.records_lost++;
@@ -186,15 +190,16 @@
         return;
     }
     if (!s->lookup && s->age_ms > j->cfg.max_age_ms) {
-        /* Its refusal may have lapsed already; see refuse(). */
+        /* A refusal recorded for it may have expired; see
+         * record_refusal(). */
         j->stats.redirected++;
         job_send_answer(from, s->request, s->partition, DW_A_MOVED,
             MOVED_RETRY_MS, JOB_TOO_OLD, out);
         return;
     }
-    why = refusal_reason(j, s);
-    if (why != NULL) {
-        record_refusal(j, now, sk, s, why, from, out);
+    reason = refusal_reason(j, s);
+    if (reason != NULL) {
+        record_refusal(j, now, sk, s, reason, from, out);
         return;
     }
     admit(j, now, sk, s, from, out);
--- a/jobhandover.c
+++ b/jobhandover.c
@@ -1,6 +1,6 @@
 /*
- * Records that change hands: a partition opened, dropped, handed over, or
- * known from the hosts' start records after a loss.
+ * Records of a partition when its owner changes: opening, dropping, export
+ * and import in a hand-over, recovery from hosts' start records.
  */
 #include "job-int.h"
 
@@ -10,13 +10,13 @@
 
 void
 jobs_open_partition(struct jobs *j, uint64_t now, uint32_t partition,
-    uint64_t epoch, uint64_t unsure_until, uint64_t quiet_ms)
+    uint64_t epoch, uint64_t incomplete_until_ms, uint64_t quiet_ms)
 {
     struct job_part *p = &j->parts[partition];
 
     p->gate = JOB_OPEN;
     p->epoch = epoch;
-    p->incomplete_until_ms = unsure_until;
+    p->incomplete_until_ms = incomplete_until_ms;
     p->uuid7_cutoff_wall_ms =
         j->wall_ms - (now > quiet_ms ? now - quiet_ms : 0);
 }
@@ -62,7 +62,7 @@
     }
     else if (job->state != DW_A_FAILED ||
              strcmp(job->reason, OWNER_LOST) != 0) {
-        /* Admitted here since, under a key that was certainly new. */
+        /* Admitted here after the takeover, under a key that was unused. */
         return;
     }
     job->expires_ms = now + j->cfg.retention_ms - rec->age_ms;
@@ -70,7 +70,8 @@
         const dw_mark *m = &rec->marks.marks_val[i];
         struct job_task *t = job_task_at(job, m->index);
 
-        /* A running task's end is not known yet; see amend_ended(). */
+        /* A running task's outcome is not known yet; see
+         * amend_recovered(). */
         if (t != NULL && m->attempt >= t->attempt &&
             job_state_is_final(m->state)) {
             t->attempt = m->attempt;
