--- a/own.c
+++ b/own.c
@@ -4,8 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Records in one message of a hand-over. */
 #define CHUNK_JOBS 64
-/* A hand-over received but never confirmed by the map is dropped. */
+/* A hand-over received but not confirmed by the map for so long is dropped. */
 #define INCOMING_TIMEOUT_MS 30000
 #define COMMIT_RETRY_MS 1000
 
@@ -26,22 +27,22 @@
 }
 
 static void
-free_takeover(struct own_takeover *r)
+free_takeover(struct own_takeover *tk)
 {
-    free(r->parts);
-    free(r->unanswered);
-    free(r->removed);
-    free(r);
+    free(tk->parts);
+    free(tk->unanswered);
+    free(tk->removed);
+    free(tk);
 }
 
 void
 own_free(struct own *o)
 {
     while (o->takeovers != NULL) {
-        struct own_takeover *r = o->takeovers;
+        struct own_takeover *tk = o->takeovers;
 
-        o->takeovers = r->next;
-        free_takeover(r);
+        o->takeovers = tk->next;
+        free_takeover(tk);
     }
     free(o->losses);
     free(o->agents);
@@ -77,7 +78,7 @@
     o->handover_rev = 0;
 }
 
-/* --- losses --- */
+/* --- removed agents --- */
 
 static void
 add_loss(struct own *o, uint64_t now, uint64_t id)
@@ -128,7 +129,7 @@
     return false;
 }
 
-/* Agents that the view no longer lists took their start records along. */
+/* The start records of an agent that the view no longer lists are lost. */
 static void
 update_agents(struct own *o, uint64_t now)
 {
@@ -151,7 +152,8 @@
         if (m->role == VIEW_AGENT && !contains(known, n, m->id)) {
             known[n] = m->id;
             seen[n++] = now;
-            /* The same process: it still has its records. */
+            /* Listed again under the same id: the same process, which still
+             * has its records. */
             remove_loss(o, m->id);
         }
     }
@@ -165,59 +167,59 @@
 /* --- taking over --- */
 
 static void
-add_removed(struct own_takeover *r, uint64_t id)
+add_removed(struct own_takeover *tk, uint64_t id)
 {
-    r->removed =
-        dw_grow(r->removed, (r->removed_count + 1) * sizeof(uint64_t));
-    r->removed[r->removed_count++] = id;
+    tk->removed =
+        dw_grow(tk->removed, (tk->removed_count + 1) * sizeof(uint64_t));
+    tk->removed[tk->removed_count++] = id;
 }
 
 static void
-begin_takeover(struct own *o, uint64_t now, struct own_takeover *r)
+begin_takeover(struct own *o, uint64_t now, struct own_takeover *tk)
 {
     const struct view_member *m;
 
-    r->epoch = o->view->map_epoch;
-    r->rev = o->view->rev;
-    r->nonce = ++o->nonce;
-    r->started_ms = now;
-    r->unanswered =
-        dw_zero(HASH_COUNT(o->view->members) + 1, sizeof(r->unanswered[0]));
+    tk->epoch = o->view->map_epoch;
+    tk->rev = o->view->rev;
+    tk->nonce = ++o->nonce;
+    tk->started_ms = now;
+    tk->unanswered =
+        dw_zero(HASH_COUNT(o->view->members) + 1, sizeof(tk->unanswered[0]));
     for (m = o->view->members; m != NULL; m = m->hh.next) {
         if (m->role == VIEW_AGENT) {
-            r->unanswered[r->unanswered_count++].host = m->id;
+            tk->unanswered[tk->unanswered_count++].host = m->id;
         }
     }
-    r->host_count = r->unanswered_count;
+    tk->host_count = tk->unanswered_count;
     for (size_t i = 0; i < o->loss_count; i++) {
-        if (r->mixed_owners || o->losses[i].id != r->prev_owner) {
-            add_removed(r, o->losses[i].id);
+        if (tk->mixed_owners || o->losses[i].id != tk->prev_owner) {
+            add_removed(tk, o->losses[i].id);
         }
     }
-    r->next = o->takeovers;
-    o->takeovers = r;
+    tk->next = o->takeovers;
+    o->takeovers = tk;
     o->stats.takeovers++;
 }
 
 static void
-send_fences(uint64_t now, struct own_takeover *r, struct acts *out)
+send_fences(uint64_t now, struct own_takeover *tk, struct acts *out)
 {
-    r->sent_ms = now;
-    for (size_t i = 0; i < r->unanswered_count; i++) {
+    tk->sent_ms = now;
+    for (size_t i = 0; i < tk->unanswered_count; i++) {
         dw_fence *f =
-            &act_send(out, r->unanswered[i].host, DW_FENCE)->dw_msg_u.fence;
+            &act_send(out, tk->unanswered[i].host, DW_FENCE)->dw_msg_u.fence;
 
-        f->nonce = r->nonce;
-        f->epoch = r->epoch;
-        f->partitions.partitions_len = (u_int)r->part_count;
+        f->nonce = tk->nonce;
+        f->epoch = tk->epoch;
+        f->partitions.partitions_len = (u_int)tk->part_count;
         f->partitions.partitions_val =
-            dw_zero(r->part_count, sizeof(uint32_t));
-        memcpy(f->partitions.partitions_val, r->parts,
-            r->part_count * sizeof(uint32_t));
+            dw_zero(tk->part_count, sizeof(uint32_t));
+        memcpy(f->partitions.partitions_val, tk->parts,
+            tk->part_count * sizeof(uint32_t));
     }
 }
 
-/* When the owner before this one is certainly silent. */
+/* From when on the previous owner certainly starts and admits nothing. */
 static uint64_t
 prev_owner_quiet_at(const struct own *o, uint64_t now,
     const struct own_part *part, bool map_skipped)
@@ -231,7 +233,7 @@
     return at > part->quiet_at_ms ? at : part->quiet_at_ms;
 }
 
-/* A hand-over that was received whole, and that the map confirms. */
+/* All chunks of the hand-over arrived, and the map confirms it. */
 static bool
 was_handed_over(const struct own_part *part, const struct view_part *vp)
 {
@@ -240,7 +242,7 @@
 
 static void
 gained_partition(struct own *o, uint64_t now, uint32_t p, uint64_t prev,
-    bool first_map, struct own_takeover *r)
+    bool first_map, struct own_takeover *tk)
 {
     struct own_part *part = &o->parts[p];
     const struct view_part *vp = &o->view->parts[p];
@@ -254,10 +256,10 @@
     }
     jobs_drop_partition(o->jobs, p);
     set_state(o, p, OWN_RECOVERING);
-    r->parts = dw_grow(r->parts, (r->part_count + 1) * sizeof(uint32_t));
-    r->mixed_owners |= r->part_count > 0 && r->prev_owner != prev;
-    r->prev_owner = prev;
-    r->parts[r->part_count++] = p;
+    tk->parts = dw_grow(tk->parts, (tk->part_count + 1) * sizeof(uint32_t));
+    tk->mixed_owners |= tk->part_count > 0 && tk->prev_owner != prev;
+    tk->prev_owner = prev;
+    tk->parts[tk->part_count++] = p;
 }
 
 static void
@@ -280,7 +282,7 @@
 
 static void
 update_part(struct own *o, uint64_t now, uint32_t p, bool first_map,
-    bool skipped, struct own_takeover *r)
+    bool skipped, struct own_takeover *tk)
 {
     struct own_part *part = &o->parts[p];
     const struct view_part *vp = &o->view->parts[p];
@@ -288,7 +290,7 @@
 
     if (part->owner == vp->owner && part->epoch == vp->epoch) {
         if (part->state == OWN_HANDING_OVER && part->committing) {
-            /* The map moved without our swap, so the swap has failed. */
+            /* The map changed otherwise, so the write of ours failed. */
             part->committing = false;
         }
         return;
@@ -305,7 +307,7 @@
         jobs_drop_partition(o->jobs, p);
     }
     if (vp->owner == o->self) {
-        gained_partition(o, now, p, prev, first_map, r);
+        gained_partition(o, now, p, prev, first_map, tk);
     }
     clear_incoming(o, p);
 }
@@ -313,12 +315,13 @@
 static void
 apply_map(struct own *o, uint64_t now, struct acts *out)
 {
-    struct own_takeover *r = dw_zero(1, sizeof(*r));
+    struct own_takeover *tk = dw_zero(1, sizeof(*tk));
     bool first_map = o->view->map_epoch == 1;
+    /* Owners of the maps in between are not known. */
     bool skipped = o->view->map_epoch != o->map_epoch + 1;
 
     for (uint32_t p = 0; p < VIEW_PARTS; p++) {
-        update_part(o, now, p, first_map, skipped, r);
+        update_part(o, now, p, first_map, skipped, tk);
     }
     o->map_epoch = o->view->map_epoch;
     o->map_mod = o->view->map_mod;
@@ -327,15 +330,15 @@
 
         add_loss(o, now > age ? now - age : 0, o->view->losses[i].id);
     }
-    if (r->part_count == 0) {
-        free_takeover(r);
+    if (tk->part_count == 0) {
+        free_takeover(tk);
         return;
     }
-    begin_takeover(o, now, r);
+    begin_takeover(o, now, tk);
     act_event(out,
         "what=takeover partitions=%zu epoch=%" PRIu64 " from=%016" PRIx64,
-        r->part_count, r->epoch, r->prev_owner);
-    send_fences(now, r, out);
+        tk->part_count, tk->epoch, tk->prev_owner);
+    send_fences(now, tk, out);
 }
 
 void
@@ -353,143 +356,149 @@
 }
 
 static void
-remove_unanswered(struct own_takeover *r, size_t i)
+remove_unanswered(struct own_takeover *tk, size_t i)
 {
-    r->unanswered[i] = r->unanswered[--r->unanswered_count];
+    tk->unanswered[i] = tk->unanswered[--tk->unanswered_count];
 }
 
-/* A host that is not listed any more will not answer; one that is listed
- * again still has its records, and is asked again. */
+/* A host that is no longer listed will not answer; one that is listed again
+ * still has its records and is fenced again. */
 static void
-update_fenced_hosts(struct own *o, struct own_takeover *r)
+update_fenced_hosts(struct own *o, struct own_takeover *tk)
 {
-    for (size_t i = r->unanswered_count; i > 0; i--) {
-        uint64_t host = r->unanswered[i - 1].host;
+    for (size_t i = tk->unanswered_count; i > 0; i--) {
+        uint64_t host = tk->unanswered[i - 1].host;
 
         if (view_member(o->view, host) == NULL) {
-            remove_unanswered(r, i - 1);
-            add_removed(r, host);
+            remove_unanswered(tk, i - 1);
+            add_removed(tk, host);
         }
     }
-    for (size_t i = r->removed_count; i > 0; i--) {
-        uint64_t host = r->removed[i - 1];
+    for (size_t i = tk->removed_count; i > 0; i--) {
+        uint64_t host = tk->removed[i - 1];
 
         if (view_member(o->view, host) != NULL) {
-            r->removed[i - 1] = r->removed[--r->removed_count];
-            r->unanswered = dw_grow(r->unanswered,
-                (r->unanswered_count + 1) * sizeof(r->unanswered[0]));
-            r->unanswered[r->unanswered_count].host = host;
-            r->unanswered[r->unanswered_count++].next_chunk = 0;
+            tk->removed[i - 1] = tk->removed[--tk->removed_count];
+            tk->unanswered = dw_grow(tk->unanswered,
+                (tk->unanswered_count + 1) * sizeof(tk->unanswered[0]));
+            tk->unanswered[tk->unanswered_count].host = host;
+            tk->unanswered[tk->unanswered_count++].next_chunk = 0;
         }
     }
 }
 
 static bool
-still_recovering(const struct own *o, const struct own_takeover *r, uint32_t p)
+still_recovering(
+    const struct own *o, const struct own_takeover *tk, uint32_t p)
 {
     return o->parts[p].state == OWN_RECOVERING &&
-           o->parts[p].epoch == r->epoch;
+           o->parts[p].epoch == tk->epoch;
 }
 
-/* Records may come late, too, while the partition is open but unsure. */
+/* Late records are accepted while the partition is open with records
+ * missing. */
 static bool
-accepts_records(const struct own *o, const struct own_takeover *r, uint32_t p)
+accepts_records(const struct own *o, const struct own_takeover *tk, uint32_t p)
 {
-    return still_recovering(o, r, p) ||
-           (r->opened && o->parts[p].state == OWN_OPEN &&
-               o->parts[p].epoch == r->epoch);
+    return still_recovering(o, tk, p) ||
+           (tk->opened && o->parts[p].state == OWN_OPEN &&
+               o->parts[p].epoch == tk->epoch);
 }
 
 static uint64_t
-takeover_quiet_at(const struct own *o, const struct own_takeover *r)
+takeover_quiet_at(const struct own *o, const struct own_takeover *tk)
 {
     uint64_t at = 0;
 
-    for (size_t i = 0; i < r->part_count; i++) {
-        const struct own_part *part = &o->parts[r->parts[i]];
+    for (size_t i = 0; i < tk->part_count; i++) {
+        const struct own_part *part = &o->parts[tk->parts[i]];
 
-        if (still_recovering(o, r, r->parts[i]) && part->quiet_at_ms > at) {
+        if (still_recovering(o, tk, tk->parts[i]) && part->quiet_at_ms > at) {
             at = part->quiet_at_ms;
         }
     }
     return at;
 }
 
-/* Records are complete if every host answered and every agent lost within W
- * has come back, besides the one whose partitions these were. */
+/* Every host answered, and every agent removed within W is listed again,
+ * except for the one whose partitions these were. */
 static bool
-records_complete(const struct own *o, const struct own_takeover *r)
+records_complete(const struct own *o, const struct own_takeover *tk)
 {
     return o->cfg.no_fence ||
-           (r->unanswered_count == 0 && r->removed_count == 0);
+           (tk->unanswered_count == 0 && tk->removed_count == 0);
 }
 
 static void
 open_takeover(
-    struct own *o, uint64_t now, struct own_takeover *r, struct acts *out)
+    struct own *o, uint64_t now, struct own_takeover *tk, struct acts *out)
 {
-    uint64_t unsure = records_complete(o, r) ? 0 : now + o->cfg.retention_ms;
+    uint64_t incomplete_until_ms =
+        records_complete(o, tk) ? 0 : now + o->cfg.retention_ms;
 
-    for (size_t i = 0; i < r->part_count; i++) {
-        uint32_t p = r->parts[i];
+    for (size_t i = 0; i < tk->part_count; i++) {
+        uint32_t p = tk->parts[i];
 
-        if (still_recovering(o, r, p)) {
+        if (still_recovering(o, tk, p)) {
             set_state(o, p, OWN_OPEN);
-            jobs_open_partition(
-                o->jobs, now, p, r->epoch, unsure, o->parts[p].quiet_at_ms);
+            jobs_open_partition(o->jobs, now, p, tk->epoch,
+                incomplete_until_ms, o->parts[p].quiet_at_ms);
         }
     }
-    r->opened = true;
+    tk->opened = true;
     act_event(out,
         "what=takeover_open epoch=%" PRIu64 " ms=%" PRIu64
         " hosts_missing=%zu",
-        r->epoch, now - r->started_ms, r->unanswered_count + r->removed_count);
+        tk->epoch, now - tk->started_ms,
+        tk->unanswered_count + tk->removed_count);
 }
 
-/* Hosts in most domains are fenced: an old owner working on through an
- * outage of the store would hear of the new epoch from one of them. */
+/* Every host is fenced, or after a time more than half of them: an old owner
+ * that works on through an outage of the store would learn of the new epoch
+ * from one of these. */
 static bool
-fenced_enough(const struct own *o, const struct own_takeover *r, uint64_t now)
+fenced_enough(const struct own *o, const struct own_takeover *tk, uint64_t now)
 {
-    if (r->unanswered_count == 0 || o->cfg.no_fence) {
+    if (tk->unanswered_count == 0 || o->cfg.no_fence) {
         return true;
     }
-    return now - r->started_ms >= 2 * (uint64_t)o->cfg.quiet_ms &&
-           r->unanswered_count < (r->host_count + 1) / 2;
+    return now - tk->started_ms >= 2 * (uint64_t)o->cfg.quiet_ms &&
+           tk->unanswered_count < (tk->host_count + 1) / 2;
 }
 
-/* The missing records have come after all. */
+/* The missing records have arrived: unknown keys may be admitted. */
 static void
 mark_records_complete(
-    struct own *o, uint64_t now, const struct own_takeover *r)
+    struct own *o, uint64_t now, const struct own_takeover *tk)
 {
-    for (size_t i = 0; i < r->part_count; i++) {
-        uint32_t p = r->parts[i];
+    for (size_t i = 0; i < tk->part_count; i++) {
+        uint32_t p = tk->parts[i];
 
-        if (o->parts[p].state == OWN_OPEN && o->parts[p].epoch == r->epoch) {
-            jobs_open_partition(o->jobs, now, p, r->epoch, 0, now);
+        if (o->parts[p].state == OWN_OPEN && o->parts[p].epoch == tk->epoch) {
+            jobs_open_partition(o->jobs, now, p, tk->epoch, 0, now);
         }
     }
 }
 
+/* Returns true once the takeover needs no more attention. */
 static bool
 advance_takeover(
-    struct own *o, uint64_t now, struct own_takeover *r, struct acts *out)
+    struct own *o, uint64_t now, struct own_takeover *tk, struct acts *out)
 {
-    update_fenced_hosts(o, r);
-    if (r->unanswered_count > 0 && now - r->sent_ms >= o->cfg.resend_ms) {
-        send_fences(now, r, out);
+    update_fenced_hosts(o, tk);
+    if (tk->unanswered_count > 0 && now - tk->sent_ms >= o->cfg.resend_ms) {
+        send_fences(now, tk, out);
     }
-    if (!r->opened && now >= takeover_quiet_at(o, r) &&
-        fenced_enough(o, r, now) && sync_majority_rev(o->sync) >= r->rev) {
-        open_takeover(o, now, r, out);
+    if (!tk->opened && now >= takeover_quiet_at(o, tk) &&
+        fenced_enough(o, tk, now) && sync_majority_rev(o->sync) >= tk->rev) {
+        open_takeover(o, now, tk, out);
     }
-    if (r->opened && records_complete(o, r)) {
-        mark_records_complete(o, now, r);
-        act_event(out, "what=takeover_sure epoch=%" PRIu64, r->epoch);
+    if (tk->opened && records_complete(o, tk)) {
+        mark_records_complete(o, now, tk);
+        act_event(out, "what=takeover_sure epoch=%" PRIu64, tk->epoch);
         return true;
     }
-    return r->opened && now - r->started_ms >= o->cfg.retention_ms;
+    return tk->opened && now - tk->started_ms >= o->cfg.retention_ms;
 }
 
 static void
@@ -498,24 +507,24 @@
     struct own_takeover **at = &o->takeovers;
 
     while (*at != NULL) {
-        struct own_takeover *r = *at;
+        struct own_takeover *tk = *at;
 
-        if (advance_takeover(o, now, r, out)) {
-            *at = r->next;
-            free_takeover(r);
+        if (advance_takeover(o, now, tk, out)) {
+            *at = tk->next;
+            free_takeover(tk);
         }
         else {
-            at = &r->next;
+            at = &tk->next;
         }
     }
 }
 
-/* A host has answered once all its chunks came in order; else the next
- * fence makes it tell everything again. */
+/* A host has answered once all its chunks arrived in order; otherwise it
+ * sends everything again on the next fence. */
 static void
-count_chunk(struct own_takeover *r, size_t i, const dw_records *rs)
+count_chunk(struct own_takeover *tk, size_t i, const dw_records *rs)
 {
-    struct own_fenced *w = &r->unanswered[i];
+    struct own_fenced *w = &tk->unanswered[i];
 
     if (rs->chunk == 0) {
         w->next_chunk = 0;
@@ -525,7 +534,7 @@
     }
     w->next_chunk++;
     if (rs->last) {
-        remove_unanswered(r, i);
+        remove_unanswered(tk, i);
     }
 }
 
@@ -533,25 +542,26 @@
 own_records(struct own *o, uint64_t now, uint64_t from, const dw_records *rs,
     struct acts *out)
 {
-    struct own_takeover *r;
+    struct own_takeover *tk;
 
     (void)out;
-    for (r = o->takeovers; r != NULL && r->nonce != rs->nonce; r = r->next) {
+    for (tk = o->takeovers; tk != NULL && tk->nonce != rs->nonce;
+         tk = tk->next) {
     }
-    if (r == NULL) {
+    if (tk == NULL) {
         return;
     }
     for (u_int i = 0; i < rs->records.records_len; i++) {
         const dw_record *rec = &rs->records.records_val[i];
 
         if (!o->cfg.no_fence && rec->partition < VIEW_PARTS &&
-            accepts_records(o, r, rec->partition)) {
+            accepts_records(o, tk, rec->partition)) {
             jobs_restore_record(o->jobs, now, rec);
         }
     }
-    for (size_t i = r->unanswered_count; i > 0; i--) {
-        if (r->unanswered[i - 1].host == from) {
-            count_chunk(r, i - 1, rs);
+    for (size_t i = tk->unanswered_count; i > 0; i--) {
+        if (tk->unanswered[i - 1].host == from) {
+            count_chunk(tk, i - 1, rs);
         }
     }
 }
@@ -564,12 +574,13 @@
     struct own_part *part = &o->parts[p];
     dw_handover *h =
         &act_send(out, part->handover_to, DW_HANDOVER)->dw_msg_u.handover;
-    uint64_t unsure = o->jobs->parts[p].incomplete_until_ms;
+    uint64_t incomplete_until_ms = o->jobs->parts[p].incomplete_until_ms;
 
     h->partition = p;
     h->epoch = part->nonce;
     h->chunk = part->chunk;
-    h->unsure_ms = unsure > now ? (uint32_t)(unsure - now) : 0;
+    h->unsure_ms =
+        incomplete_until_ms > now ? (uint32_t)(incomplete_until_ms - now) : 0;
     h->jobs.jobs_val = dw_zero(CHUNK_JOBS, sizeof(dw_job));
     h->jobs.jobs_len = jobs_export(o->jobs, now, p,
         (size_t)part->chunk * CHUNK_JOBS, h->jobs.jobs_val, CHUNK_JOBS);
@@ -594,8 +605,8 @@
     send_chunk(o, now, p, out);
 }
 
-/* Taking a partition back is safe only while no swap was tried: a swap whose
- * answer was lost may still happen, and both would own it. */
+/* Safe only before a map write was sent: a write whose result was lost may
+ * still take effect, and the partition would have two owners. */
 static void
 abort_handover(struct own *o, uint32_t p)
 {
@@ -661,14 +672,15 @@
     }
 }
 
-/* All partitions that are handed go into one swap.  One whose answer was
- * lost is tried again, unchanged, until the map shows what became of it. */
+/* Writes the new owners of all transferred partitions into the map at once.
+ * A write whose result was lost is repeated, unchanged, until the map shows
+ * whether it took effect. */
 static void
 commit_handovers(struct own *o, uint64_t now, struct acts *out)
 {
     struct view_part parts[VIEW_PARTS];
     uint64_t epoch = o->view->map_epoch + 1;
-    bool fresh = false;
+    bool new_transfer = false;
     size_t n = 0;
 
     if (o->txn_pending || !o->view->have_map ||
@@ -682,14 +694,15 @@
         if (part->state != OWN_HANDING_OVER || !part->transferred) {
             continue;
         }
-        fresh |= !part->committing;
+        new_transfer |= !part->committing;
         parts[p].owner = part->handover_to;
         parts[p].epoch = epoch;
         parts[p].nonce = part->nonce;
         part->committing = true;
         n++;
     }
-    if (n > 0 && (fresh || now - o->commit_sent_ms >= COMMIT_RETRY_MS)) {
+    if (n > 0 &&
+        (new_transfer || now - o->commit_sent_ms >= COMMIT_RETRY_MS)) {
         o->commit_sent_ms = now;
         own_put_map(o, now, own_begin_map_txn(o, out), parts, epoch, NULL, 0);
     }
@@ -790,7 +803,7 @@
 {
     (void)now;
     (void)status;
-    /* The map itself tells what became of it; see follow_part(). */
+    /* Whether it took effect shows in the map; see update_part(). */
     o->txn_pending = false;
 }
 
--- a/own.h
+++ b/own.h
@@ -1,15 +1,16 @@
 /*
- * own - who owns which partition: assignment, takeover, hand-over
+ * own - partition ownership: assignment, takeover, hand-over
  *
- * The partition map lives in the store and changes by compare-and-swap only.
- * The live agent with the lowest id plans it: partitions of members that are
- * dead or gone get new owners under a higher epoch.  An owner that should
- * no longer own a partition hands it over itself.
+ * The partition map is stored in the store and changes by compare-and-swap
+ * only.  The live agent with the lowest id plans it: partitions whose owner
+ * is dead or removed get a new owner under a higher epoch.  A live owner that
+ * should no longer own a partition hands it over itself.
  *
- * A partition taken over without hand-over opens only when the lost owner
- * cannot start or admit anything any more (its copy of the state is too old,
- * or its process is proved dead), and after every live host was fenced and
- * has told its start records.
+ * A partition taken over without a hand-over opens only when the lost owner
+ * can no longer start or admit anything (its copy of the state is too old, or
+ * its process is known to be dead), and after hosts were fenced and reported
+ * their start records: all live hosts, or after 2 * quiet_ms more than half
+ * of them.  While records are missing, an unknown key is answered UNKNOWN.
  */
 #ifndef OWN_H
 #define OWN_H
@@ -28,119 +29,128 @@
 #endif
 
 struct own_cfg {
-    uint32_t quiet_ms;     /* T and a margin: a lost owner is silent after */
-    uint32_t retention_ms; /* W */
-    uint32_t resend_ms;    /* fences and hand-overs */
+    uint32_t quiet_ms;         /* T and a margin: after this an owner without
+                                  contact starts and admits nothing */
+    uint32_t retention_ms;     /* W: how long hosts keep start records */
+    uint32_t resend_ms;        /* between resends of fences and chunks */
     uint32_t plan_interval_ms; /* least time between two plans */
-    uint32_t stable_ms;    /* a member must live this long before partitions
-                              are handed to it */
-    uint32_t handover_max; /* partitions in hand-over at once */
-    uint32_t leaving_handover_max; /* the same while leaving */
-    uint32_t handover_timeout_ms;  /* an unanswered hand-over is taken back */
-    bool no_fence;                 /* tests only: what the fence is for */
+    uint32_t stable_ms;        /* a member must be listed this long before
+                                  partitions are handed over to it */
+    uint32_t handover_max;     /* partitions in hand-over at once */
+    uint32_t leaving_handover_max; /* the same if this process may own none */
+    uint32_t handover_timeout_ms;  /* an unfinished hand-over is aborted */
+    bool no_fence; /* tests only: open without the hosts' start records */
 };
 
-enum own_state { OWN_NONE, OWN_RECOVERING, OWN_OPEN, OWN_HANDING_OVER };
+/* What this process does with a partition. */
+enum own_state {
+    OWN_NONE,       /* not the owner */
+    OWN_RECOVERING, /* taken over; closed until records are recovered */
+    OWN_OPEN,
+    OWN_HANDING_OVER /* frozen; the records go to the new owner */
+};
 
 #define OWN_STATES 4
 
-/* What a transaction was for; in ACT_TXN's ref. */
+/* What a transaction was for; the `ref` of ACT_TXN. */
 enum own_txn { OWN_TXN_MAP = 1 };
 
 struct own_part {
     enum own_state state;
     uint64_t owner; /* as of the map last seen */
     uint64_t epoch;
-    uint64_t quiet_at_ms; /* earlier owners are silent from then on */
-    /* giving */
-    uint64_t handover_to;
-    uint64_t chunk_sent_ms; /* when the last chunk was sent */
+    uint64_t quiet_at_ms; /* earlier owners start nothing from then on */
+    /* Hand-over by this process (OWN_HANDING_OVER). */
+    uint64_t handover_to; /* id of the new owner */
+    uint64_t chunk_sent_ms;
     uint64_t handover_start_ms;
-    uint32_t chunk;
-    uint32_t nonce;
-    bool transferred; /* the new owner has everything */
-    bool committing;  /* a swap was tried; only the map can tell the rest */
-    /* taking */
-    uint64_t in_from;
+    uint32_t chunk;   /* number of the chunk being sent */
+    uint32_t nonce;   /* tells hand-overs apart; goes into the map */
+    bool transferred; /* the new owner has every chunk */
+    bool committing;  /* a map write was sent; whether it took effect shows
+                         only in the map */
+    /* Hand-over to this process; in_from is 0 if there is none. */
+    uint64_t in_from; /* id of the present owner */
     uint32_t in_nonce;
-    uint32_t in_chunk;
-    bool in_complete;
-    uint64_t in_incomplete_until_ms;
-    uint64_t in_received_ms;
+    uint32_t in_chunk;               /* number of the next chunk */
+    bool in_complete;                /* every chunk has arrived */
+    uint64_t in_incomplete_until_ms; /* see job_part.incomplete_until_ms */
+    uint64_t in_received_ms;         /* last chunk */
 };
 
-/* A host that was fenced, and how much of its answer has come. */
+/* A fenced host that has not sent all its start records yet. */
 struct own_fenced {
     uint64_t host;
     uint32_t next_chunk;
 };
 
-/* One takeover: all partitions that came with one map. */
+/* A takeover of all partitions that one map change gave to this process. */
 struct own_takeover {
     uint64_t epoch;
-    uint64_t rev;
-    uint32_t nonce;
+    uint64_t rev;   /* of the view that the map came with */
+    uint32_t nonce; /* of its fences; hosts return it with the records */
     uint64_t started_ms;
-    uint64_t sent_ms;
-    uint32_t *parts;
+    uint64_t sent_ms; /* fences last sent */
+    uint32_t *parts;  /* partition numbers */
     size_t part_count;
-    struct own_fenced *unanswered; /* hosts that have not answered */
+    struct own_fenced *unanswered; /* hosts with records to come */
     size_t unanswered_count;
-    size_t host_count;
+    size_t host_count; /* hosts fenced at first */
     uint64_t *removed; /* hosts that may hold records but are not listed */
     size_t removed_count;
-    uint64_t prev_owner; /* whose partitions these were */
-    bool mixed_owners;   /* of several owners */
-    bool opened;         /* if still kept, some records are missing */
+    uint64_t prev_owner;
+    bool mixed_owners; /* the partitions were of several owners */
+    bool opened;       /* opened with records missing; waits for these */
     struct own_takeover *next;
 };
 
-/* A member that went away within W. */
+/* An agent that was removed less than retention_ms ago, with its records. */
 struct own_loss {
     uint64_t id;
     uint64_t removed_ms;
 };
 
+/* Counts since the process started. */
 struct own_stats {
-    uint64_t plans;
+    uint64_t plans; /* maps written as the planner */
     uint64_t takeovers;
-    uint64_t handed_over;
-    uint64_t received;
+    uint64_t handed_over; /* partitions */
+    uint64_t received;    /* partitions received by hand-over */
     uint64_t handovers_aborted;
 };
 
 struct own {
     struct own_cfg cfg;
-    uint64_t self;
+    uint64_t self; /* id of this process */
     const struct view *view;
     const struct mbr *mbr;
     struct sync *sync;
     struct jobs *jobs;
     struct own_part parts[VIEW_PARTS];
-    size_t counts[OWN_STATES]; /* of parts by state */
-    size_t incoming;           /* parts that a hand-over is coming for */
-    bool has_orphans;          /* the map names owners that are gone */
+    size_t counts[OWN_STATES]; /* partitions by state */
+    size_t incoming;           /* hand-overs being received */
+    bool has_orphans;          /* the map names owners that are not listed */
     uint64_t map_epoch;        /* of the map last seen; 0 before the first */
-    uint64_t map_mod;
+    uint64_t map_mod;          /* its modification revision */
     struct own_takeover *takeovers;
-    uint32_t nonce;
+    uint32_t nonce; /* last one used */
     uint64_t planned_ms;
     uint64_t checked_ms;
-    uint64_t target_rev;     /* view that want[] was computed for */
-    uint64_t target_version; /* and states of members */
-    bool targets_unstable;   /* some member was not steady yet */
+    uint64_t target_rev;     /* view that targets[] was computed from */
+    uint64_t target_version; /* mbr.version that it was computed from */
+    bool targets_unstable;   /* some member was not yet listed stable_ms */
     uint64_t target_ms;
-    uint64_t handover_rev; /* when hand-overs were last begun */
+    uint64_t handover_rev; /* view when hand-overs were last considered */
     uint64_t handover_ms;
-    uint64_t targets[VIEW_PARTS];
-    bool txn_pending;
+    uint64_t targets[VIEW_PARTS]; /* id of each partition's proper owner */
+    bool txn_pending;             /* a map write awaits its result */
     uint64_t commit_sent_ms;
     bool leaving;
     struct own_loss *losses;
     size_t loss_count;
-    uint64_t *agents; /* agents of the last view */
+    uint64_t *agents; /* ids of the agents in the last view */
     size_t agent_count;
-    uint64_t *agent_seen_ms;
+    uint64_t *agent_seen_ms; /* when each was first listed */
     struct own_stats stats;
 };
 
@@ -149,25 +159,30 @@
     struct jobs *jobs);
 void own_free(struct own *o);
 
-/* Follow a view that has moved. */
+/* Call after each change of the view. */
 void own_view_changed(struct own *o, uint64_t now, struct acts *out);
-/* `may_plan` is the freshness gate. */
+/* Resends, timeouts; with may_plan (the freshness gate) also plans the map
+ * and starts hand-overs. */
 void own_tick(struct own *o, uint64_t now, bool may_plan, struct acts *out);
+/* A host's reply to a fence: a chunk of its start records. */
 void own_records(struct own *o, uint64_t now, uint64_t from,
     const dw_records *r, struct acts *out);
+/* A chunk of a hand-over to this process. */
 void own_handover(struct own *o, uint64_t now, uint64_t from,
     const dw_handover *h, struct acts *out);
+/* The acknowledgement of a chunk that this process sent. */
 void own_handed(struct own *o, uint64_t now, uint64_t from, const dw_handed *h,
     struct acts *out);
+/* The result of a transaction OWN_TXN_MAP. */
 void own_txn_done(struct own *o, uint64_t now, enum txn_status status);
-/* This process leaves: hand everything over. */
+/* This process leaves: starts to hand all partitions over. */
 void own_leave(struct own *o);
-/* Take this member off the list, once own_empty(). */
+/* Deletes this member from the store; call it once own_empty(). */
 void own_remove_self(struct own *o, uint64_t now, struct acts *out);
 
-/* Queries. */
+/* Number of partitions in a state. */
 size_t own_count(const struct own *o, enum own_state state);
-/* Nothing is left here that another would have to take over. */
+/* No partition is owned here, so none would need a takeover. */
 bool own_empty(const struct own *o);
 
 #ifdef __cplusplus
--- a/ownmap.c
+++ b/ownmap.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Between two looks for dead owners. */
+/* Between two searches for dead owners. */
 #define CHECK_INTERVAL_MS 50
-/* A member silent for longer does not speak for its domain. */
+/* A member silent for longer does not count as contact with its domain. */
 #define HEARD_MAX_AGE_MS 3000
 
 static bool
@@ -33,28 +33,29 @@
     return mbr_state(o->mbr, m->id) != DW_M_DEAD;
 }
 
-/* The eligible member with the highest score for a partition. */
+/* Rendezvous hashing: the member with the highest hash for a partition. */
 static uint64_t
 best_owner(const struct own *o, const struct view_member **ms, size_t n,
     uint32_t partition)
 {
     const struct view_member *best = NULL;
-    uint64_t best_score = 0;
+    uint64_t best_hash = 0;
 
     (void)o;
     for (size_t i = 0; i < n; i++) {
-        uint64_t s = mix64(ms[i]->name_hash, partition);
+        uint64_t hash = mix64(ms[i]->name_hash, partition);
 
-        if (best == NULL || s > best_score) {
+        if (best == NULL || hash > best_hash) {
             best = ms[i];
-            best_score = s;
+            best_hash = hash;
         }
     }
     return best != NULL ? best->id : 0;
 }
 
+/* Allocates a list of the eligible members; the caller frees it. */
 static size_t
-eligible_list(const struct own *o, uint64_t now, bool only_steady,
+eligible_list(const struct own *o, uint64_t now, bool only_stable,
     const struct view_member ***out)
 {
     const struct view_member **ms =
@@ -63,7 +64,7 @@
     size_t n = 0;
 
     for (m = o->view->members; m != NULL; m = m->hh.next) {
-        if (own_eligible(o, m) && (!only_steady || is_stable(o, now, m))) {
+        if (own_eligible(o, m) && (!only_stable || is_stable(o, now, m))) {
             ms[n++] = m;
         }
     }
@@ -71,8 +72,8 @@
     return n;
 }
 
-/* Recompute who should own what; that is rare, as it looks at every member
- * for every partition. */
+/* Costs members times partitions, so results are kept while nothing changed.
+ */
 void
 own_refresh_targets(struct own *o, uint64_t now)
 {
@@ -100,8 +101,8 @@
 
 /* --- writing the map --- */
 
-/* By a message of its own, not just not held dead yet: a process cut off
- * finds out about one peer after the other. */
+/* A message arrived from the member itself.  That it is not detected dead
+ * yet would not do: a process that is cut off detects its peers one by one. */
 static bool
 heard_recently(const struct own *o, uint64_t now, uint64_t id)
 {
@@ -142,7 +143,6 @@
     return t;
 }
 
-/* Losses as the map tells them; `also` is lost by this very write. */
 void
 own_put_map(const struct own *o, uint64_t now, struct txn *t,
     const struct view_part *parts, uint64_t epoch, const uint64_t *also,
@@ -175,7 +175,8 @@
     buf_free(&b);
 }
 
-/* Returns how many agents among them, and lists these. */
+/* Deletes dead members in t; lists the agents among them and returns their
+ * number. */
 static size_t
 delete_dead_members(struct own *o, struct txn *t, uint64_t *agents)
 {
@@ -209,7 +210,7 @@
     return false;
 }
 
-/* The owner is not a member or is held dead. */
+/* The owner is not listed or is detected dead. */
 static bool
 is_orphaned(const struct own *o, uint64_t owner)
 {
@@ -262,9 +263,9 @@
 }
 
 /*
- * A process cut off from most others would hold all of them dead while it
- * still reaches the store.  It hears no majority of failure domains then,
- * and leaves the map to those who do.
+ * A process that is cut off from most others but reaches the store would
+ * detect all of them dead and take their partitions.  So only a process that
+ * hears from a majority of failure domains writes the map.
  */
 void
 own_maybe_plan(struct own *o, uint64_t now, struct acts *out)
