--- a/host.c
+++ b/host.c
@@ -6,12 +6,14 @@
 #include <string.h>
 #include <utlist.h>
 
-/* Records in one message to a new owner. */
+/* Start records in one message to a new owner. */
 #define RECORDS_CHUNK 256
-/* Runs looked at in a tick for resending. */
+/* Virtual time of one task at weight 1. */
 #define VTIME_UNIT 1000000U
-/* The error rate follows the last tasks: each counts one part in this. */
+/* Each task counts 1/ERROR_WINDOW in the moving average of failures. */
 #define ERROR_WINDOW 16
+/* Between two scans of the runs and records. */
+#define SCAN_INTERVAL_MS 50
 
 void
 host_init(struct host *h, const struct host_cfg *cfg, const struct view *view,
@@ -92,7 +94,8 @@
     return rec;
 }
 
-/* Records lie in the order of their last use, so the oldest are in front. */
+/* Finds or adds a record and moves it to the end: records are ordered by their
+ * last use. */
 static struct host_rec *
 use_rec(struct host *h, uint64_t now, const struct subkey *sk,
     uint32_t partition, uint32_t count)
@@ -127,16 +130,17 @@
 static struct host_task_rec *
 add_task_rec(struct host_rec *rec, uint32_t index)
 {
-    struct host_task_rec *m;
+    struct host_task_rec *tr;
 
     rec->tasks =
         dw_grow(rec->tasks, (rec->task_rec_count + 1) * sizeof(rec->tasks[0]));
-    m = &rec->tasks[rec->task_rec_count++];
-    memset(m, 0, sizeof(*m));
-    m->index = index;
-    return m;
+    tr = &rec->tasks[rec->task_rec_count++];
+    memset(tr, 0, sizeof(*tr));
+    tr->index = index;
+    return tr;
 }
 
+/* NULL if the task is neither queued nor running nor awaits its ack. */
 static struct host_run *
 find_task_run(struct host *h, const struct host_rec *rec, uint32_t index)
 {
@@ -153,11 +157,11 @@
 static void
 set_run_state(struct host_run *r, dw_tstate state)
 {
-    struct host_task_rec *m = find_task_rec(r->rec, r->task.index);
+    struct host_task_rec *tr = find_task_rec(r->rec, r->task.index);
 
     r->state = state;
-    if (m != NULL && m->attempt == r->attempt) {
-        m->state = state;
+    if (tr != NULL && tr->attempt == r->attempt) {
+        tr->state = state;
     }
 }
 
@@ -198,7 +202,7 @@
     }
 }
 
-/* --- customers and their queues --- */
+/* --- customer queues --- */
 
 static struct host_cust *
 get_customer(struct host *h, struct str name)
@@ -220,7 +224,7 @@
     struct host_cust *c = r->cust;
 
     if (c->queue == NULL && c->running == 0 && c->vtime < h->vtime) {
-        /* Time spent away earns no service later. */
+        /* A customer earns no service while it has no tasks here. */
         c->vtime = h->vtime;
     }
     DL_APPEND(c->queue, r);
@@ -236,6 +240,8 @@
     h->queued--;
 }
 
+/* The customer runs fewer tasks here than the host's part of its guaranteed
+ * slots: guaranteed * slots / fleet_slots. */
 static bool
 below_guarantee(const struct host *h, const struct host_cust *c)
 {
@@ -256,7 +262,7 @@
     return vc != NULL ? vc->c.weight : 1;
 }
 
-/* --- what tasks use --- */
+/* --- measured use --- */
 
 static struct host_kind *
 get_kind(struct host *h, struct str name, bool add)
@@ -277,13 +283,13 @@
 }
 
 static uint32_t
-update_usage(uint32_t old, uint32_t seen, uint32_t n)
+update_usage(uint32_t old, uint32_t measured, uint32_t samples)
 {
-    /* Up at once, down slowly: too small a guess overloads the worker. */
-    if (n == 0 || seen > old) {
-        return seen;
+    /* Up at once, down slowly: too low an estimate overloads the worker. */
+    if (samples == 0 || measured > old) {
+        return measured;
     }
-    return old - (old - seen) / 8;
+    return old - (old - measured) / 8;
 }
 
 void
@@ -297,8 +303,9 @@
     k->samples++;
 }
 
-/* The worker starts what it is given, so the agent alone keeps it whole.  A
- * kind that outgrew the worker still runs, with the worker to itself. */
+/* The worker starts all that it is sent, so only the agent protects it from
+ * overload.  A task larger than the worker is capped to the worker's size:
+ * it still runs, alone. */
 static void
 set_run_usage(struct host *h, struct host_run *r)
 {
@@ -418,8 +425,8 @@
     }
 }
 
-/* The customer's first task that fits; `blocked` if one waits too long for
- * room, so that nothing else may pass it. */
+/* The customer's first queued task that fits.  Sets *blocked if a task has
+ * waited bypass_ms for capacity: then no other may start before it. */
 static struct host_run *
 first_fit(const struct host *h, uint64_t now, const struct host_cust *c,
     bool *blocked)
@@ -515,43 +522,43 @@
 }
 
 /*
- * A task recorded here is never taken a second time: an owner that got no
- * reply sends the same attempt again and hears what became of it.  Only a
- * task given back unstarted may come again, and only under a higher
- * attempt, so that a late copy of the first offer cannot start it.
+ * A recorded task is never accepted a second time: an owner that got no reply
+ * resends the same attempt and gets the task's state.  Only a task returned
+ * unstarted may be offered again, and only under a higher attempt, so that a
+ * late copy of the first offer cannot start it.
  */
 static dw_tstate
 accept_item(struct host *h, uint64_t now, struct host_rec *rec,
     const dw_offer *offer, const dw_offer_item *item)
 {
-    struct host_task_rec *m = find_task_rec(rec, item->task.index);
+    struct host_task_rec *tr = find_task_rec(rec, item->task.index);
 
-    if (m != NULL && !h->cfg.no_records &&
-        (m->state != DW_T_NOT_STARTED || item->attempt <= m->attempt)) {
+    if (tr != NULL && !h->cfg.no_records &&
+        (tr->state != DW_T_NOT_STARTED || item->attempt <= tr->attempt)) {
         h->stats.refused_duplicate++;
-        return m->state;
+        return tr->state;
     }
-    if (m == NULL) {
-        m = add_task_rec(rec, item->task.index);
+    if (tr == NULL) {
+        tr = add_task_rec(rec, item->task.index);
     }
-    m->attempt = item->attempt;
+    tr->attempt = item->attempt;
     if (!h->serving ||
         (h->queued >= h->cfg.queue_max &&
             !below_guarantee(h, get_customer(h, sk_customer(&rec->sk))))) {
-        m->state = DW_T_NOT_STARTED;
+        tr->state = DW_T_NOT_STARTED;
         h->stats.refused_full++;
-        return m->state;
+        return tr->state;
     }
-    m->state = DW_T_QUEUED;
+    tr->state = DW_T_QUEUED;
     add_run(h, now, rec, offer, item);
-    return m->state;
+    return tr->state;
 }
 
 static dw_offered *
 begin_reply(struct host *h, uint64_t to, dw_mtype type, uint32_t partition,
     uint64_t epoch, const struct subkey *sk, u_int marks, struct acts *out)
 {
-    /* DW_OFFERED and DW_REVOKED share one layout. */
+    /* DW_OFFERED and DW_REVOKED have the same layout. */
     dw_offered *o = &act_send(out, to, type)->dw_msg_u.offered;
 
     o->partition = partition;
@@ -578,8 +585,8 @@
     }
     /*
      * An owner that was paused or cut off may still send offers after its
-     * partition was taken over; its tasks may meanwhile run elsewhere.  The
-     * new owner's fence has raised the epoch here before it admitted any.
+     * partition was taken over, for tasks that now run elsewhere.  The new
+     * owner's fence raised the epoch here before that owner admitted any.
      */
     if (!h->cfg.no_epochs &&
         (offer->epoch < h->epochs[offer->partition] ||
@@ -602,19 +609,20 @@
     host_load(h, &o->load);
 }
 
+/* The task's state afterwards; WAITING if this attempt is not known here. */
 static dw_tstate
 revoke_task(struct host *h, uint64_t now, struct host_rec *rec,
-    const dw_mark *want, bool stop, struct acts *out)
+    const dw_mark *mark, bool stop, struct acts *out)
 {
-    struct host_task_rec *m =
-        rec != NULL ? find_task_rec(rec, want->index) : NULL;
+    struct host_task_rec *tr =
+        rec != NULL ? find_task_rec(rec, mark->index) : NULL;
     struct host_run *r;
 
-    if (m == NULL || m->attempt < want->attempt) {
+    if (tr == NULL || tr->attempt < mark->attempt) {
         return DW_T_WAITING;
     }
-    r = find_task_run(h, rec, want->index);
-    if (r != NULL && r->state == DW_T_QUEUED && m->attempt == want->attempt) {
+    r = find_task_run(h, rec, mark->index);
+    if (r != NULL && r->state == DW_T_QUEUED && tr->attempt == mark->attempt) {
         dequeue(h, r);
         set_run_state(r, DW_T_NOT_STARTED);
         free_run(h, r);
@@ -625,22 +633,22 @@
         act_ref(out, ACT_STOP, r->ref);
     }
     (void)now;
-    return m->state;
+    return tr->state;
 }
 
-/* A revoke may pass the offer it is about on another connection; the offer
- * must then not start the task when it comes. */
+/* A revoke may arrive before its offer, which travels on another connection.
+ * The record makes the offer be refused. */
 static dw_tstate
-block_offer(struct host_rec *rec, const dw_mark *want)
+block_offer(struct host_rec *rec, const dw_mark *mark)
 {
-    struct host_task_rec *m = find_task_rec(rec, want->index);
+    struct host_task_rec *tr = find_task_rec(rec, mark->index);
 
-    if (m == NULL) {
-        m = add_task_rec(rec, want->index);
+    if (tr == NULL) {
+        tr = add_task_rec(rec, mark->index);
     }
-    m->attempt = want->attempt;
-    m->state = DW_T_NOT_STARTED;
-    return m->state;
+    tr->attempt = mark->attempt;
+    tr->state = DW_T_NOT_STARTED;
+    return tr->state;
 }
 
 void
@@ -663,12 +671,12 @@
     o = begin_reply(h, from, DW_REVOKED, revoke->partition, revoke->epoch, &sk,
         revoke->marks.marks_len, out);
     for (u_int i = 0; i < revoke->marks.marks_len; i++) {
-        const dw_mark *want = &revoke->marks.marks_val[i];
-        dw_tstate st = revoke_task(h, now, rec, want, revoke->stop, out);
+        const dw_mark *mark = &revoke->marks.marks_val[i];
+        dw_tstate st = revoke_task(h, now, rec, mark, revoke->stop, out);
 
-        o->marks.marks_val[i] = *want;
+        o->marks.marks_val[i] = *mark;
         o->marks.marks_val[i].state =
-            st == DW_T_WAITING ? block_offer(rec, want) : st;
+            st == DW_T_WAITING ? block_offer(rec, mark) : st;
     }
     dispatch(h, now, out);
     host_load(h, &o->load);
@@ -726,7 +734,7 @@
 host_fence(struct host *h, uint64_t now, uint64_t from, const dw_fence *fence,
     struct acts *out)
 {
-    bool wanted[VIEW_PARTS] = {false};
+    bool fenced[VIEW_PARTS] = {false};
     struct host_rec *rec;
     dw_records *rs;
     u_int chunk = 0;
@@ -736,12 +744,12 @@
 
         if (p < VIEW_PARTS && fence->epoch >= h->epochs[p]) {
             fence_partition(h, p, fence->epoch);
-            wanted[p] = true;
+            fenced[p] = true;
         }
     }
     rs = new_chunk(from, fence, chunk++, out);
     for (rec = h->recs; rec != NULL; rec = rec->hh.next) {
-        if (!wanted[rec->partition]) {
+        if (!fenced[rec->partition]) {
             continue;
         }
         if (rs->records.records_len == RECORDS_CHUNK) {
@@ -753,7 +761,7 @@
     rs->last = true;
 }
 
-/* --- ends and time --- */
+/* --- outcomes and timers --- */
 
 static void
 update_error_rate(struct host *h, bool error)
@@ -868,7 +876,7 @@
 host_tick(struct host *h, uint64_t now, struct acts *out)
 {
     dispatch(h, now, out);
-    if (now - h->last_scan_ms < 50) {
+    if (now - h->last_scan_ms < SCAN_INTERVAL_MS) {
         return;
     }
     h->last_scan_ms = now;
