--- a/place.c
+++ b/place.c
@@ -4,11 +4,14 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Samples drawn, at most, until one has a host with a free slot. */
 #define SAMPLE_ROUNDS 4
-/* Hosts whose loads are summed up for a decision to move. */
+/* Hosts examined in one search for stale loads or for free slots. */
 #define EXAMINED_MAX 64
-/* A load this old is asked for anew while tasks wait. */
-#define ASK_MS 100
+/* A load older than this is requested again while tasks wait. */
+#define LOAD_REFRESH_MS 100
+/* Hosts whose failure rates stand for the fleet's. */
+#define FLEET_RATE_HOSTS 64
 
 typedef struct place_host *(*pick_fn)(struct place *p, uint64_t now,
     const struct place_need *need, uint64_t avoid);
@@ -106,9 +109,9 @@
 }
 
 /*
- * A worker that fails everything is always idle and so would draw all work
- * to itself.  Against the fleet's own rate, so that a customer whose tasks
- * fail everywhere puts nobody on probation.
+ * A worker that fails every task is always idle and would attract all work.
+ * The threshold depends on the fleet's failure rate, so that a customer whose
+ * tasks fail everywhere puts no host on probation.
  */
 static bool
 far_above_fleet(const struct place *p, const struct place_host *h)
@@ -116,7 +119,7 @@
     uint64_t sum = 0;
     uint64_t n = 0;
 
-    for (size_t i = 0; i < p->count && n < 64; i++) {
+    for (size_t i = 0; i < p->count && n < FLEET_RATE_HOSTS; i++) {
         if (p->in_service[i] != h && p->in_service[i]->have_load) {
             sum += p->in_service[i]->load.error_permille;
             n++;
@@ -169,9 +172,9 @@
     uint64_t age = now - h->load_ms;
     uint64_t drained = 2 * (uint64_t)p->mean_run_ms;
 
-    /* Old news of a busy host: by now its tasks may have ended, sooner the
-     * shorter tasks are.  Believed for ever, it would leave slots idle; not
-     * believed at all, hosts with long tasks would be buried. */
+    /* The tasks of an old load may have ended by now, sooner the shorter tasks
+     * are.  Used unchanged, an old load would leave slots idle; ignored, hosts
+     * with long tasks would be overloaded. */
     if (age > p->cfg.stale_ms) {
         used = age < drained
                    ? used * (int32_t)(drained - age) / (int32_t)drained
@@ -180,8 +183,9 @@
     return (int32_t)h->load.slots - used - (int32_t)h->offered;
 }
 
+/* The host's total size, not its free part. */
 static bool
-has_capacity(const struct place_host *h, const struct place_need *need)
+is_large_enough(const struct place_host *h, const struct place_need *need)
 {
     return !h->have_load || (h->load.millicores >= need->millicores &&
                                 h->load.memory_mb >= need->memory_mb);
@@ -191,14 +195,14 @@
 usable(const struct place *p, uint64_t now, const struct place_host *h,
     const struct place_need *need)
 {
-    if (!h->in_service || !h->load.serving || !has_capacity(h, need)) {
+    if (!h->in_service || !h->load.serving || !is_large_enough(h, need)) {
         return false;
     }
     if (h->probation_until_ms > now || (h->probing && h->offered > 0)) {
         return false;
     }
     if (need->guaranteed) {
-        /* However long the others' queue: the host serves it first. */
+        /* The host starts it before other customers' queued tasks. */
         return h->offered < h->load.slots;
     }
     return free_slots(p, now, h) + (int32_t)p->cfg.queue_allow > 0;
@@ -220,7 +224,7 @@
         n -= (int32_t)h->load.slots;
     }
     if (h->id == avoid) {
-        /* Behind every host with a free slot, before every full one. */
+        /* After every host with a free slot, before every full one. */
         n = n > 0 ? 0 : n - 1;
     }
     return n;
@@ -238,16 +242,16 @@
     uint64_t avoid)
 {
     struct place_host *best = NULL;
-    int32_t best_rank = INT_MIN;
+    int32_t best_score = INT_MIN;
     size_t start = p->count > 0 ? next_random(p) % p->count : 0;
 
     for (size_t i = 0; i < p->count; i++) {
         struct place_host *h = p->in_service[(start + i) % p->count];
-        int32_t r = score(p, now, h, need, avoid);
+        int32_t s = score(p, now, h, need, avoid);
 
-        if (r > best_rank) {
+        if (s > best_score) {
             best = h;
-            best_rank = r;
+            best_score = s;
         }
     }
     return best;
@@ -258,17 +262,17 @@
     uint64_t avoid)
 {
     struct place_host *best = NULL;
-    int32_t best_rank = INT_MIN;
+    int32_t best_score = INT_MIN;
 
     for (uint32_t i = 0; i < p->cfg.sample * SAMPLE_ROUNDS; i++) {
         struct place_host *h = p->in_service[next_random(p) % p->count];
-        int32_t r = score(p, now, h, need, avoid);
+        int32_t s = score(p, now, h, need, avoid);
 
-        if (r > best_rank) {
+        if (s > best_score) {
             best = h;
-            best_rank = r;
+            best_score = s;
         }
-        if (i + 1 >= p->cfg.sample && best_rank > 0) {
+        if (i + 1 >= p->cfg.sample && best_score > 0) {
             break;
         }
     }
@@ -362,14 +366,14 @@
     for (size_t i = 0; i < p->count && i < EXAMINED_MAX && n < max; i++) {
         const struct place_host *h = p->in_service[(start + i) % p->count];
 
-        if (now - h->load_ms > ASK_MS) {
+        if (now - h->load_ms > LOAD_REFRESH_MS) {
             ids[n++] = h->id;
         }
     }
     return n;
 }
 
-/* Older news is worth no bytes. */
+/* Older loads are of little use to the receiver and are not sent. */
 #define HINT_MAX_AGE_MS 300
 
 void
@@ -419,7 +423,7 @@
 place_never_fits(const struct place *p, const struct place_need *need)
 {
     for (size_t i = 0; i < p->count; i++) {
-        if (has_capacity(p->in_service[i], need)) {
+        if (is_large_enough(p->in_service[i], need)) {
             return false;
         }
     }
@@ -443,7 +447,7 @@
 }
 
 bool
-place_should_move(struct place *p, uint64_t now, uint64_t than)
+place_should_move(struct place *p, uint64_t now, uint64_t queued_at)
 {
     size_t n = p->count < EXAMINED_MAX ? p->count : EXAMINED_MAX;
     uint64_t queued = 1;
@@ -457,8 +461,8 @@
             continue;
         }
         queued += h->load.queued;
-        if (h->id != than && h->load.serving && h->probation_until_ms <= now &&
-            slots > 0) {
+        if (h->id != queued_at && h->load.serving &&
+            h->probation_until_ms <= now && slots > 0) {
             free_elsewhere += (uint64_t)slots;
         }
     }
