--- a/test/work-test.cc
+++ b/test/work-test.cc
@@ -1,5 +1,5 @@
-/* The policy under load: placing, moving, refusing, fairness, recovery of
- * capacity.  Each case says what a caller sees. */
+/* Placement, moves, early refusal, fairness and return of capacity under
+ * load, as seen by callers. */
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -9,19 +9,20 @@
 namespace {
 
 void
-ready(Fleet &f)
+set_up(Fleet &f)
 {
     ASSERT_TRUE(f.settle());
     f.contract("one");
     f.run(6000);
 }
 
-/* No worker could ever hold the task: the caller hears so at once. */
+/* A task larger than every worker must be refused at once, not wait for its
+ * deadline. */
 TEST(Work, NeverFitsIsRefusedAtOnce)
 {
     Fleet f(1);
 
-    ready(f);
+    set_up(f);
     f.memory_mb = 200000;
     size_t r = f.submit(0, "one", "huge", 1, 50);
     f.memory_mb = 131072;
@@ -36,14 +37,14 @@
     EXPECT_EQ(f.faults_text(), "");
 }
 
-/* More work than the deadline leaves time for is refused early: the caller
- * gets "not run" and a time to come back, not a late failure. */
+/* Work that cannot meet its deadline must be refused early, with "not run" and
+ * a retry delay, rather than fail late. */
 TEST(Work, EarlyRefusalIsTrueAndAtOnce)
 {
     Fleet f(2);
     size_t refused = 0;
 
-    ready(f);
+    set_up(f);
     for (int i = 0; i < 120; i++) {
         f.at((uint64_t)i * 25, [&f, i] {
             f.submit(i % 2, "one", "k" + std::to_string(i), 20, 400, 3000);
@@ -66,13 +67,14 @@
     EXPECT_EQ(f.faults_text(), "");
 }
 
-/* A quiet fleet, then one large job and another: neither is refused for a
- * wait that only looks long, as little was asked for before. */
+/* A few small jobs, then a burst of large ones.  The drain rate of an idle
+ * fleet reflects its low demand; taken for its capacity, it would make the
+ * expected wait too long and refuse the burst. */
 TEST(Work, AQuietFleetRefusesNothingEarly)
 {
     Fleet f(8);
 
-    ready(f);
+    set_up(f);
     for (int i = 0; i < 60; i++) {
         f.at((uint64_t)i * 300, [&f, i] {
             f.submit(0, "one", "slow" + std::to_string(i), 1, 20, 3000);
@@ -91,8 +93,8 @@
     EXPECT_EQ(f.faults_text(), "");
 }
 
-/* One worker fails everything it is given.  Being idle it would draw all
- * work to itself; on probation it gets a few probes. */
+/* A worker that fails every task is always idle and would attract all work.
+ * On probation it gets single tasks only.  Returns the failed answers. */
 size_t
 failed_answers(bool probation)
 {
@@ -102,7 +104,7 @@
     f.configure = [probation](node_cfg &c) {
         c.place.probation_permille = probation ? 500 : 100000;
     };
-    ready(f);
+    set_up(f);
     f.agent(2).fails_all = true;
     for (int i = 0; i < 400; i++) {
         f.at((uint64_t)i * 25, [&f, i] {
@@ -126,14 +128,14 @@
     EXPECT_LT(with * 2, without) << with << " with, " << without << " without";
 }
 
-/* A customer floods the fleet; another's guaranteed slots serve it all the
- * same, at once. */
+/* While one customer floods the fleet, another's guaranteed slots must serve
+ * it without waiting behind the flood. */
 TEST(Work, GuaranteedSlotsUnderAFlood)
 {
     Fleet f(4);
-    uint64_t worst = 0;
+    uint64_t longest_ms = 0;
 
-    ready(f);
+    set_up(f);
     f.contract("small", 1000, 1000, 12);
     f.run(6000);
     for (int i = 0; i < 60; i++) {
@@ -147,26 +149,26 @@
     f.run(60000);
     for (size_t i = 60; i < f.requests.size(); i++) {
         ASSERT_EQ(f.answer(i).state, DW_A_COMPLETE) << f.answer(i).reason;
-        worst = std::max(worst, f.answer(i).at - f.requests[i].at);
+        longest_ms = std::max(longest_ms, f.answer(i).at - f.requests[i].at);
     }
-    /* A running task of 500 ms is never stopped, so one may be in front. */
-    EXPECT_LT(worst, 1500U);
+    /* Running tasks are not preempted: one of 500 ms may come first. */
+    EXPECT_LT(longest_ms, 1500U);
     f.check();
     EXPECT_EQ(f.faults_text(), "");
 }
 
-/* A domain returns: its workers are at work within seconds, and no worker
- * ever has more tasks than slots (checked by the fleet). */
+/* The workers of a failure domain that returns to service must get tasks
+ * within seconds, and never more than their slots (checked by Fleet). */
 TEST(Work, ADomainReturnsToWork)
 {
     Fleet f(5);
-    size_t early = 0;
+    size_t early_starts = 0;
 
-    ready(f);
+    set_up(f);
     f.domain("domain2", false);
     f.run(3000);
     f.domain("domain2", true);
-    uint64_t back = f.now;
+    uint64_t returned_ms = f.now;
 
     for (int i = 0; i < 100; i++) {
         f.at((uint64_t)i * 50, [&f, i] {
@@ -175,22 +177,22 @@
     }
     f.run(15000);
     for (auto &s : f.starts) {
-        early +=
-            s.second[0].domain == "domain2" && s.second[0].at < back + 3000;
+        early_starts += s.second[0].domain == "domain2" &&
+                        s.second[0].at < returned_ms + 3000;
     }
-    EXPECT_GT(early, 10U);
+    EXPECT_GT(early_starts, 10U);
     f.check();
     EXPECT_EQ(f.faults_text(), "");
 }
 
-/* All agents are restarted one after another under load: nothing is started
- * twice, and every caller gets a whole answer. */
+/* All agents restart one after another under load: no task may start twice,
+ * and every caller must get a complete answer. */
 TEST(Work, PlannedRestartOfAllUnderLoad)
 {
     Fleet f(6, 3, 6);
     size_t complete = 0;
 
-    ready(f);
+    set_up(f);
     for (int i = 0; i < 600; i++) {
         f.at((uint64_t)i * 100,
             [&f, i] { f.submit(0, "one", "k" + std::to_string(i), 2, 150); });
@@ -214,13 +216,13 @@
     EXPECT_EQ(f.faults_text(), "");
 }
 
-/* A wave of cancels over running and waiting jobs: each is answered, and
- * what was told "not started" never starts. */
+/* Many running and waiting jobs are cancelled: each request must be answered,
+ * and a task reported as not started must never start (checked by Fleet). */
 TEST(Work, CancelWave)
 {
     Fleet f(7);
 
-    ready(f);
+    set_up(f);
     for (int i = 0; i < 40; i++) {
         f.submit(i % 2, "one", "k" + std::to_string(i), 10, 1000, 60000);
     }
