--- a/host.h
+++ b/host.h
@@ -22,6 +22,7 @@
 extern "C" {
 #endif
 
+/* Settings and the size of the backend server. */
 struct host_cfg {
     uint32_t slots; /* tasks running at once */
     uint32_t millicores;
@@ -56,7 +57,7 @@
 
 /* One task from its offer until its result is acknowledged. */
 struct host_run {
-    uint64_t ref; /* names the run to the backend server's adapter */
+    uint64_t ref; /* names the run in ACT_START, ACT_STOP and results */
     struct host_rec *rec;
     uint64_t epoch; /* that it was offered under */
     uint32_t attempt;
@@ -107,6 +108,7 @@
     uint64_t resent;            /* results */
 };
 
+/* The tasks of one backend server. */
 struct host {
     struct host_cfg cfg;
     const struct view *view;
@@ -131,6 +133,7 @@
     struct host_stats stats;
 };
 
+/* Keeps `view`.  `self`, the id of this process, makes refs unique. */
 void host_init(struct host *h, const struct host_cfg *cfg,
     const struct view *view, uint64_t self);
 void host_free(struct host *h);
--- a/job.h
+++ b/job.h
@@ -27,6 +27,7 @@
 /* Refusal reason: the request is older than job_cfg.max_age_ms. */
 #define JOB_TOO_OLD "too_old"
 
+/* Settings. */
 struct job_cfg {
     uint32_t retention_ms;     /* W: how long the records of ended jobs stay */
     uint32_t refuse_ms;        /* least time that a refusal stays recorded */
@@ -52,6 +53,7 @@
     JOB_FROZEN /* in hand-over: records must not change here */
 };
 
+/* A partition, as far as this process owns it. */
 struct job_part {
     enum job_gate gate;
     uint64_t epoch;
@@ -61,6 +63,7 @@
                                       allowing for skew, is unused */
 };
 
+/* A task of a job, as its owner knows it. */
 struct job_task {
     dw_task task;
     dw_outcome outcome; /* .state is the task's current state */
@@ -135,6 +138,7 @@
     uint64_t late_results; /* outcomes of tasks not outstanding there */
 };
 
+/* All jobs of this process. */
 struct jobs {
     struct job_cfg cfg;
     const struct view *view;
@@ -157,6 +161,7 @@
     struct job_stats stats;
 };
 
+/* Keeps the pointers; all partitions are closed. */
 void jobs_init(struct jobs *j, const struct job_cfg *cfg,
     const struct view *view, struct place *place, uint64_t self);
 void jobs_free(struct jobs *j);
--- a/own.h
+++ b/own.h
@@ -8,9 +8,10 @@
  *
  * A partition taken over without a hand-over opens only when the lost owner
  * can no longer start or admit anything (its copy of the state is too old, or
- * its process is known to be dead), and after hosts were fenced and reported
- * their start records: all live hosts, or after 2 * quiet_ms more than half
- * of them.  While records are missing, an unknown key is answered UNKNOWN.
+ * its process is known to be dead), after readers in a majority of failure
+ * domains hold the new map, and after hosts were fenced and reported their
+ * start records: all live hosts, or after 2 * quiet_ms more than half of them.
+ * While records are missing, an unknown key is answered UNKNOWN.
  */
 #ifndef OWN_H
 #define OWN_H
@@ -28,6 +29,7 @@
 extern "C" {
 #endif
 
+/* Settings. */
 struct own_cfg {
     uint32_t quiet_ms;         /* T and a margin: after this an owner without
                                   contact starts and admits nothing */
@@ -38,7 +40,7 @@
                                   partitions are handed over to it */
     uint32_t handover_max;     /* partitions in hand-over at once */
     uint32_t leaving_handover_max; /* the same if this process may own none */
-    uint32_t handover_timeout_ms;  /* an unfinished hand-over is aborted */
+    uint32_t handover_timeout_ms;  /* aborted unless transferred by then */
     bool no_fence; /* tests only: open without the hosts' start records */
 };
 
@@ -55,6 +57,7 @@
 /* What a transaction was for; the `ref` of ACT_TXN. */
 enum own_txn { OWN_TXN_MAP = 1 };
 
+/* A partition, as this process knows it. */
 struct own_part {
     enum own_state state;
     uint64_t owner; /* as of the map last seen */
@@ -100,7 +103,7 @@
     size_t removed_count;
     uint64_t prev_owner;
     bool mixed_owners; /* the partitions were of several owners */
-    bool opened;       /* opened with records missing; waits for these */
+    bool opened;       /* partitions opened; missing records are awaited */
     struct own_takeover *next;
 };
 
@@ -119,6 +122,7 @@
     uint64_t handovers_aborted;
 };
 
+/* Ownership as this process knows it. */
 struct own {
     struct own_cfg cfg;
     uint64_t self; /* id of this process */
@@ -133,19 +137,19 @@
     uint64_t map_epoch;        /* of the map last seen; 0 before the first */
     uint64_t map_mod;          /* its modification revision */
     struct own_takeover *takeovers;
-    uint32_t nonce; /* last one used */
-    uint64_t planned_ms;
-    uint64_t checked_ms;
+    uint32_t nonce;          /* last one used */
+    uint64_t planned_ms;     /* last plan considered, or map write to leave */
+    uint64_t checked_ms;     /* last search for lost owners */
     uint64_t target_rev;     /* view that targets[] was computed from */
     uint64_t target_version; /* mbr.version that it was computed from */
     bool targets_unstable;   /* some member was not yet listed stable_ms */
-    uint64_t target_ms;
-    uint64_t handover_rev; /* view when hand-overs were last considered */
+    uint64_t target_ms;      /* when targets[] was computed; 0: never */
+    uint64_t handover_rev;   /* view when hand-overs were last considered */
     uint64_t handover_ms;
     uint64_t targets[VIEW_PARTS]; /* id of each partition's proper owner */
     bool txn_pending;             /* a map write awaits its result */
-    uint64_t commit_sent_ms;
-    bool leaving;
+    uint64_t commit_sent_ms;      /* last map write for hand-overs */
+    bool leaving;                 /* own_leave() was called */
     struct own_loss *losses;
     size_t loss_count;
     uint64_t *agents; /* ids of the agents in the last view */
@@ -154,6 +158,7 @@
     struct own_stats stats;
 };
 
+/* Keeps the pointers. */
 void own_init(struct own *o, const struct own_cfg *cfg, uint64_t self,
     const struct view *view, const struct mbr *mbr, struct sync *sync,
     struct jobs *jobs);
--- a/ownmap.c
+++ b/ownmap.c
@@ -6,7 +6,8 @@
 
 /* Between two searches for dead owners. */
 #define CHECK_INTERVAL_MS 50
-/* A member silent for longer does not count as contact with its domain. */
+/* A member not heard from for longer does not count as a contact with its
+ * domain. */
 #define HEARD_MAX_AGE_MS 3000
 
 static bool
--- a/place.h
+++ b/place.h
@@ -27,6 +27,7 @@
     PLACE_ROUND_ROBIN /* usable hosts in turn; experiments */
 };
 
+/* Settings. */
 struct place_cfg {
     enum place_policy policy;
     uint32_t queue_allow; /* tasks offered beyond a host's free slots */
@@ -41,6 +42,7 @@
     uint32_t probation_max_ms;
 };
 
+/* A host as this process knows it. */
 struct place_host {
     uint64_t id;
     char rack[CT_NAME_MAX];
@@ -56,6 +58,7 @@
     UT_hash_handle hh;
 };
 
+/* All hosts. */
 struct place {
     struct place_cfg cfg;
     struct place_host *hosts;       /* by id */
@@ -75,6 +78,7 @@
                         matter */
 };
 
+/* `seed` starts the random choices, which are reproducible. */
 void place_init(struct place *p, const struct place_cfg *cfg, uint64_t seed);
 void place_free(struct place *p);
 /* Updates the hosts from the members, failure domains and failure
