--- a/host.c
+++ b/host.c
@@ -6,12 +6,14 @@
 #include <string.h>
 #include <utlist.h>
 
-/* Records in one message to a new owner. */
+/* Start records in one message to a new owner. */
 #define RECORDS_CHUNK 256
-/* Runs looked at in a tick for resending. */
+/* Virtual time of one task at weight 1. */
 #define VTIME_UNIT 1000000U
-/* The error rate follows the last tasks: each counts one part in this. */
+/* Each task counts 1/ERROR_WINDOW in the moving average of failures. */
 #define ERROR_WINDOW 16
+/* Between two scans of the runs and records. */
+#define SCAN_INTERVAL_MS 50
 
 void
 host_init(struct host *h, const struct host_cfg *cfg, const struct view *view,
@@ -36,7 +38,7 @@
 free_rec(struct host *h, struct host_rec *rec)
 {
     HASH_DEL(h->recs, rec);
-    free(rec->marks);
+    free(rec->tasks);
     free(rec);
 }
 
@@ -58,8 +60,8 @@
     HASH_ITER (hh, h->recs, rec, rect) {
         free_rec(h, rec);
     }
-    HASH_ITER (hh, h->custs, c, ct) {
-        HASH_DEL(h->custs, c);
+    HASH_ITER (hh, h->customers, c, ct) {
+        HASH_DEL(h->customers, c);
         free(c);
     }
     HASH_ITER (hh, h->kinds, k, kt) {
@@ -69,7 +71,7 @@
 }
 
 const struct host_run *
-host_find(const struct host *h, uint64_t ref)
+host_find_run(const struct host *h, uint64_t ref)
 {
     struct host_run *r;
 
@@ -80,7 +82,7 @@
 static struct host_run *
 find_run(struct host *h, uint64_t ref)
 {
-    return (struct host_run *)host_find(h, ref);
+    return (struct host_run *)host_find_run(h, ref);
 }
 
 static struct host_rec *
@@ -92,9 +94,10 @@
     return rec;
 }
 
-/* Records lie in the order of their last use, so the oldest are in front. */
+/* Finds or adds a record and moves it to the end: records are ordered by their
+ * last use. */
 static struct host_rec *
-touch_rec(struct host *h, uint64_t now, const struct subkey *sk,
+use_rec(struct host *h, uint64_t now, const struct subkey *sk,
     uint32_t partition, uint32_t count)
 {
     struct host_rec *rec = find_rec(h, sk);
@@ -103,42 +106,43 @@
         rec = dw_zero(1, sizeof(*rec));
         rec->sk = *sk;
         rec->partition = partition;
-        rec->count = count;
+        rec->job_task_count = count;
     }
     else {
         HASH_DEL(h->recs, rec);
     }
-    rec->last_ms = now;
+    rec->last_used_ms = now;
     HASH_ADD_KEYPTR(hh, h->recs, rec->sk.p, rec->sk.n, rec);
     return rec;
 }
 
-static struct host_mark *
-find_mark(struct host_rec *rec, uint32_t index)
+static struct host_task_rec *
+find_task_rec(struct host_rec *rec, uint32_t index)
 {
-    for (size_t i = 0; i < rec->mark_count; i++) {
-        if (rec->marks[i].index == index) {
-            return &rec->marks[i];
+    for (size_t i = 0; i < rec->task_rec_count; i++) {
+        if (rec->tasks[i].index == index) {
+            return &rec->tasks[i];
         }
     }
     return NULL;
 }
 
-static struct host_mark *
-add_mark(struct host_rec *rec, uint32_t index)
+static struct host_task_rec *
+add_task_rec(struct host_rec *rec, uint32_t index)
 {
-    struct host_mark *m;
+    struct host_task_rec *tr;
 
-    rec->marks =
-        dw_grow(rec->marks, (rec->mark_count + 1) * sizeof(rec->marks[0]));
-    m = &rec->marks[rec->mark_count++];
-    memset(m, 0, sizeof(*m));
-    m->index = index;
-    return m;
+    rec->tasks =
+        dw_grow(rec->tasks, (rec->task_rec_count + 1) * sizeof(rec->tasks[0]));
+    tr = &rec->tasks[rec->task_rec_count++];
+    memset(tr, 0, sizeof(*tr));
+    tr->index = index;
+    return tr;
 }
 
+/* NULL if the task is neither queued nor running nor awaits its ack. */
 static struct host_run *
-run_of(struct host *h, const struct host_rec *rec, uint32_t index)
+find_task_run(struct host *h, const struct host_rec *rec, uint32_t index)
 {
     struct host_run *r;
 
@@ -151,13 +155,13 @@
 }
 
 static void
-mark_state(struct host_run *r, dw_tstate state)
+set_run_state(struct host_run *r, dw_tstate state)
 {
-    struct host_mark *m = find_mark(r->rec, r->task.index);
+    struct host_task_rec *tr = find_task_rec(r->rec, r->task.index);
 
     r->state = state;
-    if (m != NULL && m->attempt == r->attempt) {
-        m->state = state;
+    if (tr != NULL && tr->attempt == r->attempt) {
+        tr->state = state;
     }
 }
 
@@ -199,18 +203,18 @@
     }
 }
 
-/* --- customers and their queues --- */
+/* --- customer queues --- */
 
 static struct host_cust *
-customer(struct host *h, struct str name)
+get_customer(struct host *h, struct str name)
 {
     struct host_cust *c;
 
-    HASH_FIND(hh, h->custs, name.p, name.n, c);
+    HASH_FIND(hh, h->customers, name.p, name.n, c);
     if (c == NULL) {
         c = dw_zero(1, sizeof(*c));
         str_copy(c->name, sizeof(c->name), name);
-        HASH_ADD_KEYPTR(hh, h->custs, c->name, name.n, c);
+        HASH_ADD_KEYPTR(hh, h->customers, c->name, name.n, c);
     }
     return c;
 }
@@ -221,7 +225,7 @@
     struct host_cust *c = r->cust;
 
     if (c->queue == NULL && c->running == 0 && c->vtime < h->vtime) {
-        /* Time spent away earns no service later. */
+        /* A customer earns no service while it has no tasks here. */
         c->vtime = h->vtime;
     }
     DL_APPEND(c->queue, r);
@@ -237,6 +241,8 @@
     h->queued--;
 }
 
+/* The customer runs fewer tasks here than the host's part of its guaranteed
+ * slots: guaranteed * slots / fleet_slots. */
 static bool
 below_guarantee(const struct host *h, const struct host_cust *c)
 {
@@ -257,10 +263,10 @@
     return vc != NULL ? vc->c.weight : 1;
 }
 
-/* --- what tasks use --- */
+/* --- measured use --- */
 
 static struct host_kind *
-kind(struct host *h, struct str name, bool add)
+get_kind(struct host *h, struct str name, bool add)
 {
     struct str cut = name;
     struct host_kind *k;
@@ -278,32 +284,33 @@
 }
 
 static uint32_t
-follow(uint32_t old, uint32_t seen, uint32_t n)
+update_usage(uint32_t old, uint32_t measured, uint32_t samples)
 {
-    /* Up at once, down slowly: too small a guess overloads the worker. */
-    if (n == 0 || seen > old) {
-        return seen;
+    /* Up at once, down slowly: too low an estimate overloads the worker. */
+    if (samples == 0 || measured > old) {
+        return measured;
     }
-    return old - (old - seen) / 8;
+    return old - (old - measured) / 8;
 }
 
 void
-host_usage(
+host_task_usage(
     struct host *h, struct str name, uint32_t millicores, uint32_t memory_mb)
 {
-    struct host_kind *k = kind(h, name, true);
+    struct host_kind *k = get_kind(h, name, true);
 
-    k->millicores = follow(k->millicores, millicores, k->seen);
-    k->memory_mb = follow(k->memory_mb, memory_mb, k->seen);
-    k->seen++;
+    k->millicores = update_usage(k->millicores, millicores, k->samples);
+    k->memory_mb = update_usage(k->memory_mb, memory_mb, k->samples);
+    k->samples++;
 }
 
-/* The worker starts what it is given, so the agent alone keeps it whole.  A
- * kind that outgrew the worker still runs, with the worker to itself. */
+/* The worker starts all that it is sent, so only the agent protects it from
+ * overload.  A task larger than the worker is capped to the worker's size:
+ * it still runs, alone. */
 static void
-count_use(struct host *h, struct host_run *r)
+set_run_usage(struct host *h, struct host_run *r)
 {
-    const struct host_kind *k = kind(h, str_bytes(&r->task.kind), false);
+    const struct host_kind *k = get_kind(h, str_bytes(&r->task.kind), false);
 
     r->millicores = r->task.millicores;
     r->memory_mb = r->task.memory_mb;
@@ -345,17 +352,17 @@
 }
 
 static void
-end_run(struct host *h, uint64_t now, struct host_run *r, dw_tstate state,
+finish_run(struct host *h, uint64_t now, struct host_run *r, dw_tstate state,
     uint32_t code, struct str body, struct acts *out)
 {
-    mark_state(r, state);
+    set_run_state(r, state);
     r->outcome.index = r->task.index;
     r->outcome.state = state;
     r->outcome.code = code;
     r->outcome.ran_ms =
         r->started_ms > 0 ? (uint32_t)(now - r->started_ms) : 0;
     r->outcome.body = str_to_bytes(body);
-    r->rec->last_ms = now;
+    r->rec->last_used_ms = now;
     act_submission_event(out, sk_customer(&r->rec->sk), sk_key(&r->rec->sk),
         "host: task %u attempt %u ended in state %d, code %u, after %u ms",
         r->task.index, r->attempt, (int)state, code, r->outcome.ran_ms);
@@ -363,15 +370,15 @@
 }
 
 static void
-give_back(struct host *h, uint64_t now, struct host_run *r, struct acts *out)
+release_run(struct host *h, uint64_t now, struct host_run *r, struct acts *out)
 {
     dequeue(h, r);
     h->stats.released++;
-    end_run(h, now, r, DW_T_NOT_STARTED, 0, STR(""), out);
+    finish_run(h, now, r, DW_T_NOT_STARTED, 0, STR(""), out);
 }
 
 void
-host_acked(struct host *h, const dw_result_ack *ack)
+host_result_acked(struct host *h, const dw_result_ack *ack)
 {
     for (u_int i = 0; i < ack->refs.refs_len; i++) {
         struct host_run *r = find_run(h, ack->refs.refs_val[i]);
@@ -390,9 +397,9 @@
     struct host_cust *c = r->cust;
 
     dequeue(h, r);
-    mark_state(r, DW_T_RUNNING);
+    set_run_state(r, DW_T_RUNNING);
     r->started_ms = now;
-    r->rec->last_ms = now;
+    r->rec->last_used_ms = now;
     c->running++;
     c->vtime += VTIME_UNIT / weight(h, c);
     h->vtime = c->vtime;
@@ -414,13 +421,13 @@
 
     DL_FOREACH_SAFE (c->queue, r, tmp) {
         if (now >= r->deadline_ms) {
-            give_back(h, now, r, out);
+            release_run(h, now, r, out);
         }
     }
 }
 
-/* The customer's first task that fits; `blocked` if one waits too long for
- * room, so that nothing else may pass it. */
+/* The customer's first queued task that fits.  Sets *blocked if a task has
+ * waited bypass_ms for capacity: then no other may start before it. */
 static struct host_run *
 first_fit(const struct host *h, uint64_t now, const struct host_cust *c,
     bool *blocked)
@@ -453,13 +460,13 @@
 }
 
 static struct host_run *
-choose(struct host *h, uint64_t now, struct acts *out)
+next_run(struct host *h, uint64_t now, struct acts *out)
 {
     struct host_cust *c;
     struct host_run *best = NULL;
     bool blocked = false;
 
-    for (c = h->custs; c != NULL; c = c->hh.next) {
+    for (c = h->customers; c != NULL; c = c->hh.next) {
         struct host_run *r;
 
         expire_queue(h, now, c, out);
@@ -482,7 +489,7 @@
 {
     while (h->may_start && h->serving && h->queued > 0 &&
            h->busy < h->cfg.slots) {
-        struct host_run *r = choose(h, now, out);
+        struct host_run *r = next_run(h, now, out);
 
         if (r == NULL) {
             return;
@@ -509,50 +516,50 @@
     r->state = DW_T_QUEUED;
     r->queued_ms = now;
     r->deadline_ms = now + offer->deadline_ms;
-    r->cust = customer(h, sk_customer(&rec->sk));
-    count_use(h, r);
+    r->cust = get_customer(h, sk_customer(&rec->sk));
+    set_run_usage(h, r);
     HASH_ADD(hh, h->runs, ref, sizeof(r->ref), r);
     enqueue(h, r);
 }
 
 /*
- * A task recorded here is never taken a second time: an owner that got no
- * reply sends the same attempt again and hears what became of it.  Only a
- * task given back unstarted may come again, and only under a higher
- * attempt, so that a late copy of the first offer cannot start it.
+ * A recorded task is never accepted a second time: an owner that got no reply
+ * resends the same attempt and gets the task's state.  Only a task returned
+ * unstarted may be offered again, and only under a higher attempt, so that a
+ * late copy of the first offer cannot start it.
  */
 static dw_tstate
-take_item(struct host *h, uint64_t now, struct host_rec *rec,
+accept_item(struct host *h, uint64_t now, struct host_rec *rec,
     const dw_offer *offer, const dw_offer_item *item)
 {
-    struct host_mark *m = find_mark(rec, item->task.index);
+    struct host_task_rec *tr = find_task_rec(rec, item->task.index);
 
-    if (m != NULL && !h->cfg.no_records &&
-        (m->state != DW_T_NOT_STARTED || item->attempt <= m->attempt)) {
-        h->stats.refused_again++;
-        return m->state;
+    if (tr != NULL && !h->cfg.no_records &&
+        (tr->state != DW_T_NOT_STARTED || item->attempt <= tr->attempt)) {
+        h->stats.refused_duplicate++;
+        return tr->state;
     }
-    if (m == NULL) {
-        m = add_mark(rec, item->task.index);
+    if (tr == NULL) {
+        tr = add_task_rec(rec, item->task.index);
     }
-    m->attempt = item->attempt;
+    tr->attempt = item->attempt;
     if (!h->serving ||
         (h->queued >= h->cfg.queue_max &&
-            !below_guarantee(h, customer(h, sk_customer(&rec->sk))))) {
-        m->state = DW_T_NOT_STARTED;
+            !below_guarantee(h, get_customer(h, sk_customer(&rec->sk))))) {
+        tr->state = DW_T_NOT_STARTED;
         h->stats.refused_full++;
-        return m->state;
+        return tr->state;
     }
-    m->state = DW_T_QUEUED;
+    tr->state = DW_T_QUEUED;
     add_run(h, now, rec, offer, item);
-    return m->state;
+    return tr->state;
 }
 
 static dw_offered *
-reply(struct host *h, uint64_t to, dw_mtype type, uint32_t partition,
+begin_reply(struct host *h, uint64_t to, dw_mtype type, uint32_t partition,
     uint64_t epoch, const struct subkey *sk, u_int marks, struct acts *out)
 {
-    /* DW_OFFERED and DW_REVOKED share one layout. */
+    /* DW_OFFERED and DW_REVOKED have the same layout. */
     dw_offered *o = &act_send(out, to, type)->dw_msg_u.offered;
 
     o->partition = partition;
@@ -579,8 +586,8 @@
     }
     /*
      * An owner that was paused or cut off may still send offers after its
-     * partition was taken over; its tasks may meanwhile run elsewhere.  The
-     * new owner's fence has raised the epoch here before it admitted any.
+     * partition was taken over, for tasks that now run elsewhere.  The new
+     * owner's fence raised the epoch here before that owner admitted any.
      */
     if (!h->cfg.no_epochs &&
         (offer->epoch < h->epochs[offer->partition] ||
@@ -589,34 +596,36 @@
         return;
     }
     h->epochs[offer->partition] = offer->epoch;
-    rec = touch_rec(h, now, &sk, offer->partition, offer->count);
-    o = reply(h, from, DW_OFFERED, offer->partition, offer->epoch, &sk,
+    rec = use_rec(h, now, &sk, offer->partition, offer->count);
+    o = begin_reply(h, from, DW_OFFERED, offer->partition, offer->epoch, &sk,
         offer->items.items_len, out);
     for (u_int i = 0; i < offer->items.items_len; i++) {
         const dw_offer_item *item = &offer->items.items_val[i];
 
         o->marks.marks_val[i].index = item->task.index;
         o->marks.marks_val[i].attempt = item->attempt;
-        o->marks.marks_val[i].state = take_item(h, now, rec, offer, item);
+        o->marks.marks_val[i].state = accept_item(h, now, rec, offer, item);
     }
     dispatch(h, now, out);
     host_load(h, &o->load);
 }
 
+/* The task's state afterwards; WAITING if this attempt is not known here. */
 static dw_tstate
-revoke_one(struct host *h, uint64_t now, struct host_rec *rec,
-    const dw_mark *want, bool stop, struct acts *out)
+revoke_task(struct host *h, uint64_t now, struct host_rec *rec,
+    const dw_mark *mark, bool stop, struct acts *out)
 {
-    struct host_mark *m = rec != NULL ? find_mark(rec, want->index) : NULL;
+    struct host_task_rec *tr =
+        rec != NULL ? find_task_rec(rec, mark->index) : NULL;
     struct host_run *r;
 
-    if (m == NULL || m->attempt < want->attempt) {
+    if (tr == NULL || tr->attempt < mark->attempt) {
         return DW_T_WAITING;
     }
-    r = run_of(h, rec, want->index);
-    if (r != NULL && r->state == DW_T_QUEUED && m->attempt == want->attempt) {
+    r = find_task_run(h, rec, mark->index);
+    if (r != NULL && r->state == DW_T_QUEUED && tr->attempt == mark->attempt) {
         dequeue(h, r);
-        mark_state(r, DW_T_NOT_STARTED);
+        set_run_state(r, DW_T_NOT_STARTED);
         free_run(h, r);
         h->stats.released++;
     }
@@ -625,22 +634,22 @@
         act_ref(out, ACT_STOP, r->ref);
     }
     (void)now;
-    return m->state;
+    return tr->state;
 }
 
-/* A revoke may pass the offer it is about on another connection; the offer
- * must then not start the task when it comes. */
+/* A revoke may arrive before its offer, which travels on another connection.
+ * The record makes the offer be refused. */
 static dw_tstate
-forbid(struct host_rec *rec, const dw_mark *want)
+block_offer(struct host_rec *rec, const dw_mark *mark)
 {
-    struct host_mark *m = find_mark(rec, want->index);
+    struct host_task_rec *tr = find_task_rec(rec, mark->index);
 
-    if (m == NULL) {
-        m = add_mark(rec, want->index);
+    if (tr == NULL) {
+        tr = add_task_rec(rec, mark->index);
     }
-    m->attempt = want->attempt;
-    m->state = DW_T_NOT_STARTED;
-    return m->state;
+    tr->attempt = mark->attempt;
+    tr->state = DW_T_NOT_STARTED;
+    return tr->state;
 }
 
 void
@@ -659,16 +668,16 @@
         h->stats.refused_epoch++;
         return;
     }
-    rec = touch_rec(h, now, &sk, revoke->partition, 0);
-    o = reply(h, from, DW_REVOKED, revoke->partition, revoke->epoch, &sk,
+    rec = use_rec(h, now, &sk, revoke->partition, 0);
+    o = begin_reply(h, from, DW_REVOKED, revoke->partition, revoke->epoch, &sk,
         revoke->marks.marks_len, out);
     for (u_int i = 0; i < revoke->marks.marks_len; i++) {
-        const dw_mark *want = &revoke->marks.marks_val[i];
-        dw_tstate st = revoke_one(h, now, rec, want, revoke->stop, out);
+        const dw_mark *mark = &revoke->marks.marks_val[i];
+        dw_tstate st = revoke_task(h, now, rec, mark, revoke->stop, out);
 
-        o->marks.marks_val[i] = *want;
+        o->marks.marks_val[i] = *mark;
         o->marks.marks_val[i].state =
-            st == DW_T_WAITING ? forbid(rec, want) : st;
+            st == DW_T_WAITING ? block_offer(rec, mark) : st;
     }
     dispatch(h, now, out);
     host_load(h, &o->load);
@@ -687,7 +696,7 @@
         if (r->rec->partition == partition && r->epoch < epoch &&
             r->state == DW_T_QUEUED) {
             dequeue(h, r);
-            mark_state(r, DW_T_NOT_STARTED);
+            set_run_state(r, DW_T_NOT_STARTED);
             free_run(h, r);
             h->stats.released++;
         }
@@ -700,14 +709,14 @@
     out->partition = rec->partition;
     out->customer = str_to_bytes(sk_customer(&rec->sk));
     out->key = str_to_bytes(sk_key(&rec->sk));
-    out->count = rec->count;
-    out->age_ms = (uint32_t)(now - rec->last_ms);
-    out->marks.marks_val = dw_zero(rec->mark_count, sizeof(dw_mark));
-    out->marks.marks_len = (u_int)rec->mark_count;
-    for (size_t i = 0; i < rec->mark_count; i++) {
-        out->marks.marks_val[i].index = rec->marks[i].index;
-        out->marks.marks_val[i].attempt = rec->marks[i].attempt;
-        out->marks.marks_val[i].state = rec->marks[i].state;
+    out->count = rec->job_task_count;
+    out->age_ms = (uint32_t)(now - rec->last_used_ms);
+    out->marks.marks_val = dw_zero(rec->task_rec_count, sizeof(dw_mark));
+    out->marks.marks_len = (u_int)rec->task_rec_count;
+    for (size_t i = 0; i < rec->task_rec_count; i++) {
+        out->marks.marks_val[i].index = rec->tasks[i].index;
+        out->marks.marks_val[i].attempt = rec->tasks[i].attempt;
+        out->marks.marks_val[i].state = rec->tasks[i].state;
     }
 }
 
@@ -726,7 +735,7 @@
 host_fence(struct host *h, uint64_t now, uint64_t from, const dw_fence *fence,
     struct acts *out)
 {
-    bool wanted[VIEW_PARTS] = {false};
+    bool fenced[VIEW_PARTS] = {false};
     struct host_rec *rec;
     dw_records *rs;
     u_int chunk = 0;
@@ -736,12 +745,12 @@
 
         if (p < VIEW_PARTS && fence->epoch >= h->epochs[p]) {
             fence_partition(h, p, fence->epoch);
-            wanted[p] = true;
+            fenced[p] = true;
         }
     }
     rs = new_chunk(from, fence, chunk++, out);
     for (rec = h->recs; rec != NULL; rec = rec->hh.next) {
-        if (!wanted[rec->partition]) {
+        if (!fenced[rec->partition]) {
             continue;
         }
         if (rs->records.records_len == RECORDS_CHUNK) {
@@ -753,10 +762,10 @@
     rs->last = true;
 }
 
-/* --- ends and time --- */
+/* --- outcomes and timers --- */
 
 static void
-note_error(struct host *h, bool error)
+update_error_rate(struct host *h, bool error)
 {
     uint32_t sample = error ? 1000 : 0;
 
@@ -765,7 +774,7 @@
 }
 
 void
-host_ended(struct host *h, uint64_t now, uint64_t ref, dw_tstate state,
+host_task_ended(struct host *h, uint64_t now, uint64_t ref, dw_tstate state,
     uint32_t code, struct str body, struct acts *out)
 {
     struct host_run *r = find_run(h, ref);
@@ -782,9 +791,9 @@
         h->stats.started--;
     }
     if (state != DW_T_STOPPED) {
-        note_error(h, state != DW_T_DONE);
+        update_error_rate(h, state != DW_T_DONE);
     }
-    end_run(h, now, r, state, code, body, out);
+    finish_run(h, now, r, state, code, body, out);
     dispatch(h, now, out);
 }
 
@@ -796,13 +805,13 @@
 
     HASH_ITER (hh, h->runs, r, tmp) {
         if (r->state == DW_T_QUEUED) {
-            give_back(h, now, r, out);
+            release_run(h, now, r, out);
         }
     }
 }
 
 void
-host_serving(struct host *h, uint64_t now, bool serving, uint32_t slots,
+host_set_serving(struct host *h, uint64_t now, bool serving, uint32_t slots,
     struct acts *out)
 {
     h->serving = serving;
@@ -816,7 +825,7 @@
 }
 
 static void
-resend(struct host *h, uint64_t now, struct acts *out)
+resend_results(struct host *h, uint64_t now, struct acts *out)
 {
     struct host_run *r;
     struct host_run *tmp;
@@ -826,7 +835,7 @@
             now - r->sent_ms < h->cfg.resend_ms) {
             continue;
         }
-        if (now - r->rec->last_ms >= h->cfg.record_ms) {
+        if (now - r->rec->last_used_ms >= h->cfg.retention_ms) {
             free_run(h, r);
             continue;
         }
@@ -849,13 +858,13 @@
 }
 
 static void
-forget(struct host *h, uint64_t now)
+remove_expired_recs(struct host *h, uint64_t now)
 {
     struct host_rec *rec;
     struct host_rec *tmp;
 
     HASH_ITER (hh, h->recs, rec, tmp) {
-        if (now - rec->last_ms < h->cfg.record_ms) {
+        if (now - rec->last_used_ms < h->cfg.retention_ms) {
             return;
         }
         if (!rec_in_use(h, rec)) {
@@ -868,10 +877,10 @@
 host_tick(struct host *h, uint64_t now, struct acts *out)
 {
     dispatch(h, now, out);
-    if (now - h->scanned_ms < 50) {
+    if (now - h->last_scan_ms < SCAN_INTERVAL_MS) {
         return;
     }
-    h->scanned_ms = now;
-    resend(h, now, out);
-    forget(h, now);
+    h->last_scan_ms = now;
+    resend_results(h, now, out);
+    remove_expired_recs(h, now);
 }
--- a/jobadmit.c
+++ b/jobadmit.c
@@ -6,10 +6,10 @@
 #include <string.h>
 #include <utlist.h>
 
-/* Record a refusal, so that a copy of the request on its way through
+/* Records a refusal, so that a copy of the request that arrives through
  * another entry gets the same answer and does not run. */
 static void
-refuse(struct jobs *j, uint64_t now, const struct subkey *sk,
+record_refusal(struct jobs *j, uint64_t now, const struct subkey *sk,
     const dw_submit *s, const char *reason, uint64_t from, struct acts *out)
 {
     struct job *job = job_add(j, now, sk, s->partition, 0);
@@ -19,12 +19,12 @@
     job->state = DW_A_NOT_RUN;
     job->body_hash = s->body_hash;
     job->refused = true;
-    job->lapses_ms = now + ms;
+    job->expires_ms = now + ms;
     job_set_reason(job, reason);
     j->stats.refused++;
     act_submission_event(
         out, sk_customer(sk), sk_key(sk), "owner: refused: %s", reason);
-    job_answer(job, now, from, s->request, out);
+    job_answer_request(job, now, from, s->request, out);
 }
 
 static bool
@@ -41,23 +41,25 @@
     return false;
 }
 
-/* The wait a new task would have, from what waits and how fast it drains. */
+/* Expected wait of a new task: waiting tasks over the drain rate; 0 if not
+ * known. */
 static uint64_t
 expected_wait_ms(const struct jobs *j)
 {
-    if (j->waiting == 0 || j->rate_milli == 0) {
+    if (j->waiting == 0 || j->drain_rate_milli == 0) {
         return 0;
     }
-    return (uint64_t)j->waiting * 1000000 / j->rate_milli;
+    return (uint64_t)j->waiting * 1000000 / j->drain_rate_milli;
 }
 
+/* The customer has a guaranteed slot that no outstanding task uses. */
 static bool
-has_guarantee(const struct jobs *j, const dw_bytes *name)
+has_unused_guarantee(const struct jobs *j, const dw_bytes *name)
 {
     struct str s = str_bytes(name);
     struct job_cust *c;
 
-    HASH_FIND(hh, j->custs, s.p, s.n, c);
+    HASH_FIND(hh, j->customers, s.p, s.n, c);
     if (c == NULL) {
         const struct view_contract *vc = view_contract(j->view, s);
 
@@ -66,7 +68,7 @@
     return job_below_guarantee(j, c);
 }
 
-/* An entry's reason, of those we know. */
+/* The reason that the entry gave for a lookup, if it is a known one. */
 static const char *
 lookup_reason(const dw_submit *s)
 {
@@ -81,9 +83,9 @@
     return LEND_OVER;
 }
 
-/* NULL if the job may be admitted, else why not. */
+/* NULL if the job may be admitted. */
 static const char *
-objection(const struct jobs *j, const dw_submit *s)
+refusal_reason(const struct jobs *j, const dw_submit *s)
 {
     if (s->lookup) {
         return lookup_reason(s);
@@ -94,8 +96,8 @@
     if (j->waiting + s->tasks.tasks_len > j->cfg.waiting_max) {
         return "overloaded";
     }
-    /* What waits belongs to others: guaranteed slots do not queue for it. */
-    if (!j->cfg.no_early_refusal && !has_guarantee(j, &s->customer) &&
+    /* Guaranteed slots do not wait behind other customers' tasks. */
+    if (!j->cfg.no_early_refusal && !has_unused_guarantee(j, &s->customer) &&
         expected_wait_ms(j) > s->deadline_ms) {
         return "deadline_cannot_be_met";
     }
@@ -112,42 +114,43 @@
     job->body_hash = s->body_hash;
     job->deadline_ms = now + s->deadline_ms;
     job->width = s->width > 0 ? s->width : 1;
-    job->cust = job_customer(j, sk_customer(sk));
+    job->cust = job_get_customer(j, sk_customer(sk));
     DL_APPEND(job->cust->jobs, job);
-    for (uint32_t i = 0; i < job->count; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         job_copy_task(&job->tasks[i].task, &s->tasks.tasks_val[i]);
         job->tasks[i].task.index = i;
-        job->tasks[i].since_ms = now;
+        job->tasks[i].state_since_ms = now;
     }
-    job->waiting = job->count;
-    j->waiting += job->count;
+    job->waiting = job->task_count;
+    j->waiting += job->task_count;
     j->stats.admitted++;
     job->admit_request = s->request;
     job_attach(j, job, from, s->request);
     act_submission_event(out, sk_customer(sk), sk_key(sk),
-        "owner: admitted %u tasks in partition %u, epoch %llu", job->count,
-        s->partition, (unsigned long long)j->parts[s->partition].epoch);
+        "owner: admitted %u tasks in partition %u, epoch %llu",
+        job->task_count, s->partition,
+        (unsigned long long)j->parts[s->partition].epoch);
     job_dispatch(j, now, out);
 }
 
-/* The partition changed hands and some records of its past may be lost: a
- * key that is not known may have run, unless it was made afterwards. */
+/* After a takeover with records missing, an unknown key may have run under
+ * an earlier owner, unless it was created after that owner was silent. */
 static bool
 may_have_run(const struct jobs *j, uint64_t now, const struct job_part *p,
     struct str key)
 {
-    uint64_t made;
+    uint64_t created_wall_ms;
 
-    if (p->unsure_until <= now) {
+    if (p->incomplete_until_ms <= now) {
         return false;
     }
-    return !sk_uuid7_ms(key, &made) ||
-           made <= p->unsure_wall_ms + j->cfg.skew_ms;
+    return !sk_uuid7_ms(key, &created_wall_ms) ||
+           created_wall_ms <= p->uuid7_cutoff_wall_ms + j->cfg.clock_skew_ms;
 }
 
 void
-job_known(struct jobs *j, uint64_t now, struct job *job, const dw_submit *s,
-    uint64_t from, struct acts *out)
+job_resubmitted(struct jobs *j, uint64_t now, struct job *job,
+    const dw_submit *s, uint64_t from, struct acts *out)
 {
     if (!s->poll && s->body_hash != 0 && job->body_hash != 0 &&
         s->body_hash != job->body_hash) {
@@ -157,27 +160,29 @@
     }
     if (job->state != DW_A_RUNNING) {
         j->stats.attached++;
-        job_answer(job, now, from, s->request, out);
+        job_answer_request(job, now, from, s->request, out);
         return;
     }
-    /* An entry that asks again hears that its request is in hand. */
+    /* A repeated request is answered RUNNING, so that the entry knows that
+     * it is registered. */
     if (s->poll || !job_attach(j, job, from, s->request)) {
         job_send_answer(
             from, s->request, s->partition, DW_A_RUNNING, 0, "", out);
     }
 }
 
+/* A submission or poll under a key without a record. */
 static void
-unknown(struct jobs *j, uint64_t now, const struct subkey *sk,
+submit_unknown(struct jobs *j, uint64_t now, const struct subkey *sk,
     const dw_submit *s, uint64_t from, struct acts *out)
 {
     const struct job_part *p = &j->parts[s->partition];
-    const char *why;
+    const char *reason;
 
     if (may_have_run(j, now, p, sk_key(sk))) {
-        j->stats.unsure++;
+        j->stats.records_lost++;
         job_send_answer(from, s->request, s->partition, DW_A_UNKNOWN,
-            (uint32_t)(p->unsure_until - now), "records_lost", out);
+            (uint32_t)(p->incomplete_until_ms - now), "records_lost", out);
         return;
     }
     if (s->poll) {
@@ -186,27 +191,28 @@
         return;
     }
     if (!s->lookup && s->age_ms > j->cfg.max_age_ms) {
-        /* Its refusal may have lapsed already; see refuse(). */
-        j->stats.moved_on++;
+        /* A refusal recorded for it may have expired; see
+         * record_refusal(). */
+        j->stats.redirected++;
         job_send_answer(from, s->request, s->partition, DW_A_MOVED,
             MOVED_RETRY_MS, JOB_TOO_OLD, out);
         return;
     }
-    why = objection(j, s);
-    if (why != NULL) {
-        refuse(j, now, sk, s, why, from, out);
+    reason = refusal_reason(j, s);
+    if (reason != NULL) {
+        record_refusal(j, now, sk, s, reason, from, out);
         return;
     }
     admit(j, now, sk, s, from, out);
 }
 
 struct job *
-job_find_unlapsed(
+job_find_unexpired(
     struct jobs *j, uint64_t now, struct str customer_name, struct str key)
 {
     struct job *job = job_find(j, customer_name, key);
 
-    if (job != NULL && job->state != DW_A_RUNNING && job->lapses_ms <= now) {
+    if (job != NULL && job->state != DW_A_RUNNING && job->expires_ms <= now) {
         job_free(j, job);
         return NULL;
     }
@@ -226,16 +232,16 @@
         return;
     }
     if (j->parts[s->partition].gate != JOB_OPEN || !j->may_admit) {
-        j->stats.moved_on++;
+        j->stats.redirected++;
         job_send_answer(from, s->request, s->partition, DW_A_MOVED,
             MOVED_RETRY_MS, "not_ready", out);
         return;
     }
-    job = job_find_unlapsed(j, now, name, key);
+    job = job_find_unexpired(j, now, name, key);
     if (job != NULL) {
-        job_known(j, now, job, s, from, out);
+        job_resubmitted(j, now, job, s, from, out);
     }
     else {
-        unknown(j, now, &sk, s, from, out);
+        submit_unknown(j, now, &sk, s, from, out);
     }
 }
