--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 
 # Deciding modules: no I/O, no clock, no state of their own.
 DECIDE = str err act subkey contract view member sync place host job jobadmit jobmove \
-	lend own ownmap front node route sess fleet coord runner agent news guess slack inflow rank turn intake lag relay
+	quota own ownmap front node route sess fleet coord runner agent news guess slack inflow rank turn intake lag relay
 # What carries their actions out.
 IO = log hist proc base64 httpc store frame link web trail back carry api ops metric serve \
 	entryd entrycall entrynews agentd platform/wire platform/kv platform/follow
@@ -58,7 +58,7 @@
 	$(CC) $(LDFLAGS) -o $@ $^ -lev -lmicrohttpd -lcurl -ljansson -lxxhash \
 		-lpopt -lnettle
 
-TESTS = unit-test work-test link-test lend-test path-test member-test matrix-test \
+TESTS = unit-test work-test link-test quota-test path-test member-test matrix-test \
 	property-test fleet world serve-test wire-test route-test sess-test runner-test agent-test \
 	coord-test news-test guess-test slack-test inflow-test rank-test lag-test fleet-test kv-test \
 	web-test log-test sim-test
--- a/api.c
+++ b/api.c
@@ -217,7 +217,7 @@
         return;
     }
     HASH_DEL(d->waiters, w);
-    node_gone(&d->node, proc_now(), w->request);
+    node_caller_disconnected(&d->node, proc_now(), w->request);
     free(w);
 }
 
@@ -591,7 +591,8 @@
     else {
         back_set_urls(d->back, url, worker != NULL ? worker : url);
         d->node.host.announced_ms = proc_now();
-        node_backend(&d->node, proc_now(), true, (uint32_t)slots, &d->acts);
+        node_backend_status(
+            &d->node, proc_now(), true, (uint32_t)slots, &d->acts);
         web_reply(r, 200, "application/json", STR("{\"announced\":true}"), 0);
     }
     json_decref(o);
@@ -610,7 +611,7 @@
         announce(d, r);
     }
     else if (strcmp(web_method(r), "DELETE") == 0) {
-        node_backend(&d->node, proc_now(), false, 0, &d->acts);
+        node_backend_status(&d->node, proc_now(), false, 0, &d->acts);
         web_reply(r, 200, "application/json", STR("{\"leaving\":true}"), 0);
     }
     else {
--- a/carry.c
+++ b/carry.c
@@ -27,10 +27,10 @@
     struct daemon *d = c->d;
 
     if (st == STORE_OK) {
-        node_checked(&d->node, proc_now(), c->asked_ms, rev, &d->acts);
+        node_store_checked(&d->node, proc_now(), c->asked_ms, rev, &d->acts);
     }
     else {
-        node_read_failed(&d->node);
+        node_store_read_failed(&d->node);
     }
     free(c);
     carry_out(d);
@@ -43,10 +43,10 @@
     struct daemon *d = c->d;
 
     if (st == STORE_OK) {
-        node_read(&d->node, proc_now(), c->asked_ms, all, &d->acts);
+        node_store_read(&d->node, proc_now(), c->asked_ms, all, &d->acts);
     }
     else {
-        node_read_failed(&d->node);
+        node_store_read_failed(&d->node);
     }
     free(c);
     carry_out(d);
--- a/conf.c
+++ b/conf.c
@@ -53,7 +53,7 @@
 static bool
 is_name(const char *text)
 {
-    return ct_name_ok(str_of(text));
+    return ct_name_valid(str_of(text));
 }
 
 static bool
@@ -136,7 +136,7 @@
     NUMBER("callers.idle_s", idle_s, 1, 3600),
     NUMBER("callers.deadline_ms", default_deadline_ms, 10, 3600000),
     NUMBER("callers.waiting", node.front.requests_max, 1, 1000000),
-    NUMBER("callers.hold_ms", node.front.hold_ms, 100, 600000),
+    NUMBER("callers.hold_ms", node.front.owner_timeout_ms, 100, 600000),
     NUMBER("state.fresh_ms", node.sync.fresh_ms, 500, 60000),
     NUMBER("state.pull_ms", node.sync.pull_ms, 50, 10000),
     NUMBER("state.read_ms", node.sync.read_ms, 100, 10000),
@@ -155,9 +155,9 @@
     NUMBER("jobs.scan_max", node.place.scan_max, 0, 10000),
     NUMBER("jobs.sample", node.place.sample, 1, 64),
     NUMBER("jobs.load_hints", node.place.hints, 0, 8),
-    NUMBER("loans.valid_ms", node.lend.valid_ms, 2000, 600000),
-    NUMBER("loans.hold_ms", node.lend.hold_ms, 1000, 3600000),
-    NUMBER("loans.wait_ms", node.lend.wait_ms, 0, 60000),
+    NUMBER("loans.valid_ms", node.quota.valid_ms, 2000, 600000),
+    NUMBER("loans.hold_ms", node.quota.slot_hold_ms, 1000, 3600000),
+    NUMBER("loans.wait_ms", node.quota.wait_ms, 0, 60000),
     TEXT("platform.store", platform.store, NEED_NOT, is_url,
         "an http:// or https:// URL"),
     TEXT("platform.callers", platform.callers, NEED_NOT, is_endpoint,
@@ -353,7 +353,7 @@
     n->host.record_ms = n->job.record_ms;
     n->own.record_ms = n->job.record_ms;
     n->own.quiet_ms = n->sync.fresh_ms + 500;
-    n->lend.settle_ms = n->sync.fresh_ms + 500;
+    n->quota.settle_ms = n->sync.fresh_ms + 500;
     n->me.slots = n->host.slots;
     return CONF_OK;
 }
--- a/contract.c
+++ b/contract.c
@@ -11,7 +11,7 @@
     size_t offset;
     uint32_t min;
     uint32_t max;
-    uint32_t fallback;
+    uint32_t initial;
 };
 
 static const struct field fields[] = {
@@ -34,13 +34,13 @@
 #define FIELD_COUNT (sizeof(fields) / sizeof(fields[0]))
 
 static uint32_t *
-field_at(struct contract *c, const struct field *f)
+field_ptr(struct contract *c, const struct field *f)
 {
     return (uint32_t *)((char *)c + f->offset);
 }
 
 static const struct field *
-field_named(const char *name)
+find_field(const char *name)
 {
     for (size_t i = 0; i < FIELD_COUNT; i++) {
         if (strcmp(fields[i].name, name) == 0) {
@@ -51,7 +51,7 @@
 }
 
 bool
-ct_name_ok(struct str name)
+ct_name_valid(struct str name)
 {
     if (name.n == 0 || name.n >= CT_NAME_MAX) {
         return false;
@@ -68,7 +68,7 @@
 }
 
 static bool
-hash_ok(const char *z)
+hash_valid(const char *z)
 {
     return strlen(z) == CT_HASH_HEX &&
            strspn(z, "0123456789abcdef") == CT_HASH_HEX;
@@ -85,7 +85,7 @@
             f->name, f->min, f->max);
         return CT_BAD_FIELD;
     }
-    *field_at(c, f) = (uint32_t)n;
+    *field_ptr(c, f) = (uint32_t)n;
     return CT_OK;
 }
 
@@ -95,7 +95,7 @@
     const char *z = json_string_value(v);
 
     if (strcmp(name, "customer") == 0) {
-        if (z == NULL || !ct_name_ok(str_of(z))) {
+        if (z == NULL || !ct_name_valid(str_of(z))) {
             err_set(e, "contract field 'customer': want 1 to 63 of a-z 0-9 "
                        "'-' '_' '.'");
             return CT_BAD_FIELD;
@@ -103,7 +103,7 @@
         str_copy(c->customer, sizeof(c->customer), str_of(z));
         return CT_OK;
     }
-    if (z == NULL || !hash_ok(z)) {
+    if (z == NULL || !hash_valid(z)) {
         err_set(e, "contract field 'token_sha256': want 64 lower-case "
                    "hexadecimal digits");
         return CT_BAD_FIELD;
@@ -116,7 +116,7 @@
 read_field(
     struct contract *c, const char *name, const json_t *v, struct err *e)
 {
-    const struct field *f = field_named(name);
+    const struct field *f = find_field(name);
 
     if (f != NULL) {
         return read_number(c, f, v, e);
@@ -145,7 +145,7 @@
         return CT_BAD_JSON;
     }
     for (size_t i = 0; i < FIELD_COUNT; i++) {
-        *field_at(c, &fields[i]) = fields[i].fallback;
+        *field_ptr(c, &fields[i]) = fields[i].initial;
     }
     json_object_foreach (root, name, v) {
         if (st == CT_OK) {
@@ -174,14 +174,14 @@
     }
     for (size_t i = 0; i < FIELD_COUNT; i++) {
         buf_addf(out, ",\"%s\":%u", fields[i].name,
-            *field_at((struct contract *)c, &fields[i]));
+            *field_ptr((struct contract *)c, &fields[i]));
     }
     buf_add(out, STR("}"));
 }
 
 enum ct_status
-ct_keepable(uint64_t guaranteed, const struct ct_domain *ds, size_t count,
-    struct err *e)
+ct_guarantees_fit(uint64_t guaranteed, const struct ct_domain *ds,
+    size_t count, struct err *e)
 {
     const struct ct_domain *largest = NULL;
     uint64_t total = 0;
@@ -205,7 +205,7 @@
         largest != NULL ? largest->name : "none",
         largest != NULL ? largest->slots : 0, (unsigned long long)left,
         (unsigned long long)total);
-    return CT_NOT_KEEPABLE;
+    return CT_OVERCOMMITTED;
 }
 
 void
--- a/contract.h
+++ b/contract.h
@@ -39,10 +39,10 @@
     CT_OK,
     CT_BAD_JSON,
     CT_BAD_FIELD,
-    CT_NOT_KEEPABLE /* the guaranteed slots do not fit */
+    CT_OVERCOMMITTED /* the guaranteed slots do not fit */
 };
 
-/* A failure domain's slots, for ct_keepable(). */
+/* A failure domain's slots, for ct_guarantees_fit(). */
 struct ct_domain {
     char name[CT_NAME_MAX];
     uint32_t slots;
@@ -61,11 +61,11 @@
  * Can the sum of guaranteed slots still be kept with the largest failure
  * domain withdrawn?  The message has the arithmetic.
  */
-enum ct_status ct_keepable(uint64_t guaranteed, const struct ct_domain *ds,
-    size_t count, struct err *e);
+enum ct_status ct_guarantees_fit(uint64_t guaranteed,
+    const struct ct_domain *ds, size_t count, struct err *e);
 
 /* Names of customers and failure domains: a-z 0-9 - _ . up to 63 bytes. */
-bool ct_name_ok(struct str name);
+bool ct_name_valid(struct str name);
 /* Lower-case hexadecimal SHA-256 of a bearer token. */
 void ct_token_hash(struct str token, char out[CT_HASH_HEX + 1]);
 
--- a/dunlinweird.c
+++ b/dunlinweird.c
@@ -38,7 +38,7 @@
 {
     struct daemon *d = ctx;
 
-    node_refused(&d->node, proc_now(), id, &d->acts);
+    node_connection_refused(&d->node, proc_now(), id, &d->acts);
     carry_out(d);
 }
 
@@ -83,7 +83,7 @@
 {
     struct daemon *d = ctx;
 
-    node_usage(&d->node, kind, millicores, memory_mb);
+    node_task_usage(&d->node, kind, millicores, memory_mb);
 }
 
 static const struct back_events back_events = {
@@ -119,7 +119,7 @@
     if (last != 0 && d->node.host.serving &&
         now - last > d->conf.announce_ms) {
         log_event(LOG_LEVEL_WARN, "backend_silent", "ms=%" PRIu64, now - last);
-        node_backend(&d->node, now, false, 0, &d->acts);
+        node_backend_status(&d->node, now, false, 0, &d->acts);
     }
 }
 
@@ -239,7 +239,7 @@
     d->back = back_new(d->loop, d->back_http, &back, &back_events, d);
     if (d->conf.backend_url[0] != '\0') {
         back_set_urls(d->back, d->conf.backend_url, d->conf.worker_url);
-        node_backend(&d->node, proc_now(), true, 0, &d->acts);
+        node_backend_status(&d->node, proc_now(), true, 0, &d->acts);
     }
     return 0;
 }
--- a/front.c
+++ b/front.c
@@ -6,9 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SCAN_MS 10
-#define SHARE_RETRY_MS 50
-#define HOME_SEED 0x686f6d65U
+#define SCAN_INTERVAL_MS 10
+#define QUOTA_RETRY_MS 50
+#define LENDER_HASH_SEED 0x686f6d65U
 
 void
 front_init(struct front *f, const struct front_cfg *cfg,
@@ -18,7 +18,7 @@
     f->cfg = *cfg;
     f->view = view;
     f->seed = mix64(self, 5);
-    lend_accounts_init(&f->accounts, &cfg->lend);
+    quota_accounts_init(&f->accounts, &cfg->quota);
 }
 
 static void
@@ -38,7 +38,7 @@
     HASH_ITER (hh, f->reqs, r, tmp) {
         free_req(f, r);
     }
-    lend_accounts_free(&f->accounts);
+    quota_accounts_free(&f->accounts);
 }
 
 size_t
@@ -48,15 +48,16 @@
 }
 
 uint64_t
-front_home(const struct view *v, struct str customer)
+front_lender(const struct view *v, struct str customer)
 {
-    return front_home_without(v, customer, 0);
+    return front_lender_without(v, customer, 0);
 }
 
 uint64_t
-front_home_without(const struct view *v, struct str customer, uint64_t without)
+front_lender_without(
+    const struct view *v, struct str customer, uint64_t without)
 {
-    uint64_t h = str_hash(customer, HOME_SEED);
+    uint64_t h = str_hash(customer, LENDER_HASH_SEED);
     const struct view_member *best = NULL;
     const struct view_member *m;
 
@@ -89,11 +90,12 @@
 }
 
 static void
-give_back(struct front *f, uint64_t now, struct front_req *r, bool refund)
+release_charge(struct front *f, uint64_t now, struct front_req *r, bool refund)
 {
-    if (r->has_spend) {
-        lend_return(&f->accounts, now, sk_customer(&r->sk), &r->spend, refund);
-        r->has_spend = false;
+    if (r->charged) {
+        quota_release(
+            &f->accounts, now, sk_customer(&r->sk), &r->charge, refund);
+        r->charged = false;
     }
 }
 
@@ -110,9 +112,9 @@
     c->key = str_to_bytes(sk_key(&r->sk));
 }
 
-/* From here on the request may attach but not start. */
+/* From here on the request may attach to a job but not start one. */
 static void
-set_lookup(dw_submit *s, const char *reason)
+make_lookup(dw_submit *s, const char *reason)
 {
     s->lookup = true;
     free(s->reason.dw_bytes_val);
@@ -120,8 +122,9 @@
 }
 
 /*
- * A request that is too old may have a twin that was refused, and whose
- * refusal has lapsed: the caller was told "not run", so it must not start.
+ * A copy of a request that is too old may have been refused, and the owner may
+ * have forgotten that refusal: the caller got "not run", so this one must not
+ * start.
  */
 static void
 send_submit(const struct front *f, struct front_req *r, uint64_t now,
@@ -132,10 +135,10 @@
 
     s->age_ms = (uint32_t)(now - r->received_ms);
     if (s->age_ms > f->cfg.max_age_ms && !s->lookup) {
-        set_lookup(s, JOB_TOO_OLD);
+        make_lookup(s, JOB_TOO_OLD);
     }
     s->deadline_ms = num_left(r->deadline_ms, now);
-    s->width = r->has_spend ? r->spend.running : 0;
+    s->width = r->charged ? r->charge.running : 0;
     copy = msg_clone(r->msg);
     if (copy != NULL) {
         dw_msg *m = act_send(out, owner, DW_SUBMIT);
@@ -150,9 +153,9 @@
 {
     uint64_t owner = f->view->parts[r->msg->dw_msg_u.submit.partition].owner;
 
-    r->next_ms = now + f->cfg.resend_ms;
+    r->next_try_ms = now + f->cfg.resend_ms;
     if (owner == 0) {
-        r->next_ms = now + f->cfg.retry_min_ms;
+        r->next_try_ms = now + f->cfg.retry_min_ms;
         return;
     }
     f->stats.sends++;
@@ -169,8 +172,8 @@
 /* --- limits --- */
 
 /*
- * Out of budget, the request still goes to the owner: the key may belong to
- * a job that ran, and only the owner can say "not run".  It may attach
+ * Over the limit, the request still goes to the owner: the key may belong to
+ * a job that ran, and only the owner can answer "not run".  It may attach
  * there but not start.
  */
 static void
@@ -179,53 +182,54 @@
 {
     dw_submit *s = &r->msg->dw_msg_u.submit;
 
-    r->needs_share = false;
+    r->needs_quota = false;
     s->refuse_ms = retry_ms;
-    set_lookup(s, lend_reason(&f->accounts, sk_customer(&r->sk)));
+    make_lookup(s, quota_refusal_reason(&f->accounts, sk_customer(&r->sk)));
     f->stats.over_limit++;
     send_req(f, now, r, out);
 }
 
 static void
-try_share(struct front *f, uint64_t now, struct front_req *r, struct acts *out)
+acquire_quota(
+    struct front *f, uint64_t now, struct front_req *r, struct acts *out)
 {
     struct str name = sk_customer(&r->sk);
     uint32_t tasks = r->msg->dw_msg_u.submit.tasks.tasks_len;
     uint32_t retry_ms = 0;
 
-    switch (lend_spend(&f->accounts, now, name, front_home(f->view, name),
-        tasks, &r->spend, &retry_ms, out)) {
-    case LEND_OK:
-        r->needs_share = false;
-        r->has_spend = true;
+    switch (quota_acquire(&f->accounts, now, name, front_lender(f->view, name),
+        tasks, &r->charge, &retry_ms, out)) {
+    case QUOTA_OK:
+        r->needs_quota = false;
+        r->charged = true;
         send_req(f, now, r, out);
         return;
-    case LEND_WAIT:
-        if (now < r->share_until_ms) {
-            f->stats.waits++;
+    case QUOTA_WAIT:
+        if (now < r->quota_wait_until_ms) {
+            f->stats.quota_waits++;
             return;
         }
         break;
-    case LEND_REFUSED:
+    case QUOTA_REFUSED:
         break;
     }
     send_lookup(f, now, r, retry_ms, out);
 }
 
 void
-front_lent(struct front *f, uint64_t now, uint64_t from, const dw_lent *l,
-    struct acts *out)
+front_loan_reply(struct front *f, uint64_t now, uint64_t from,
+    const dw_lent *l, struct acts *out)
 {
     struct str name = str_bytes(&l->customer);
     struct front_req *r;
     struct front_req *tmp;
 
-    if (!lend_got(&f->accounts, now, from, l)) {
+    if (!quota_loan_reply(&f->accounts, now, from, l)) {
         return;
     }
     HASH_ITER (hh, f->reqs, r, tmp) {
-        if (r->needs_share && str_eq(sk_customer(&r->sk), name)) {
-            try_share(f, now, r, out);
+        if (r->needs_quota && str_eq(sk_customer(&r->sk), name)) {
+            acquire_quota(f, now, r, out);
         }
     }
 }
@@ -253,14 +257,14 @@
     s->partition = view_partition(sk_customer(&r->sk), sk_key(&r->sk));
     s->poll = kind == FRONT_POLL;
     r->received_ms = now > age_ms ? now - age_ms : 0;
-    r->heard_ms = now;
+    r->last_reply_ms = now;
     r->deadline_ms = now + deadline_ms;
-    r->share_until_ms = now + f->cfg.lend.wait_ms;
+    r->quota_wait_until_ms = now + f->cfg.quota.wait_ms;
     HASH_ADD(hh, f->reqs, request, sizeof(r->request), r);
     f->stats.requests++;
     if (kind == FRONT_SUBMIT) {
-        r->needs_share = true;
-        try_share(f, now, r, out);
+        r->needs_quota = true;
+        acquire_quota(f, now, r, out);
     }
     else {
         send_req(f, now, r, out);
@@ -269,29 +273,31 @@
 }
 
 void
-front_gone(struct front *f, uint64_t now, uint64_t request)
+front_caller_disconnected(struct front *f, uint64_t now, uint64_t request)
 {
     struct front_req *r = find(f, request);
 
     if (r != NULL) {
-        /* The job may run on: its starts stay charged. */
-        give_back(f, now, r, false);
+        /* The job may continue: its starts stay charged. */
+        release_charge(f, now, r, false);
         free_req(f, r);
     }
 }
 
 static void
-hold(struct front *f, uint64_t now, struct front_req *r, uint32_t retry_ms)
+back_off(struct front *f, uint64_t now, struct front_req *r, uint32_t retry_ms)
 {
-    uint32_t base = r->retry_ms == 0 ? f->cfg.retry_min_ms : 2 * r->retry_ms;
+    uint32_t base =
+        r->backoff_ms == 0 ? f->cfg.retry_min_ms : 2 * r->backoff_ms;
 
     if (base < retry_ms) {
         base = retry_ms;
     }
-    r->retry_ms = base > f->cfg.retry_max_ms ? f->cfg.retry_max_ms : base;
-    /* Full jitter: requests held by one failure do not return together. */
-    r->next_ms = now + 1 + next_random(f) % r->retry_ms;
-    f->stats.held++;
+    r->backoff_ms = base > f->cfg.retry_max_ms ? f->cfg.retry_max_ms : base;
+    /* Full jitter: requests delayed by one failure are not all retried at
+     * once. */
+    r->next_try_ms = now + 1 + next_random(f) % r->backoff_ms;
+    f->stats.backoffs++;
 }
 
 void
@@ -307,16 +313,16 @@
     }
     if (a->state == DW_A_MOVED) {
         if (from == r->sent_to) {
-            hold(f, now, r, a->retry_ms);
+            back_off(f, now, r, a->retry_ms);
         }
         return;
     }
-    r->heard_ms = now;
-    r->retry_ms = 0;
+    r->last_reply_ms = now;
+    r->backoff_ms = 0;
     if (a->state == DW_A_RUNNING && r->kind != FRONT_POLL) {
         return;
     }
-    give_back(f, now, r, a->refund);
+    release_charge(f, now, r, a->refund);
     act_answer(out, r->request, a);
     free_req(f, r);
 }
@@ -331,7 +337,7 @@
         uint64_t owner =
             f->view->parts[r->msg->dw_msg_u.submit.partition].owner;
 
-        if (!r->needs_share && owner != r->sent_to) {
+        if (!r->needs_quota && owner != r->sent_to) {
             send_req(f, now, r, out);
         }
     }
@@ -347,36 +353,37 @@
     a.retry_ms = f->cfg.retry_max_ms;
     f->stats.gave_up++;
     act_note(out, sk_customer(&r->sk), sk_key(&r->sk),
-        "entry: no word from the owner, answered unknown");
-    give_back(f, now, r, false);
+        "entry: no reply from the owner, answered unknown");
+    release_charge(f, now, r, false);
     act_answer(out, r->request, &a);
     free_req(f, r);
 }
 
 static void
-tend(struct front *f, uint64_t now, struct front_req *r, struct acts *out)
+handle_timeouts(
+    struct front *f, uint64_t now, struct front_req *r, struct acts *out)
 {
-    if (now - r->heard_ms >= f->cfg.hold_ms ||
-        now >= r->deadline_ms + f->cfg.grace_ms) {
+    if (now - r->last_reply_ms >= f->cfg.owner_timeout_ms ||
+        now >= r->deadline_ms + f->cfg.answer_grace_ms) {
         give_up(f, now, r, out);
         return;
     }
-    if (r->needs_share) {
-        if (now >= r->share_until_ms || now >= r->next_ms) {
-            r->next_ms = now + SHARE_RETRY_MS;
-            try_share(f, now, r, out);
+    if (r->needs_quota) {
+        if (now >= r->quota_wait_until_ms || now >= r->next_try_ms) {
+            r->next_try_ms = now + QUOTA_RETRY_MS;
+            acquire_quota(f, now, r, out);
         }
         return;
     }
-    if (now >= r->next_ms) {
+    if (now >= r->next_try_ms) {
         send_req(f, now, r, out);
     }
 }
 
 static uint64_t
-home_of(void *ctx, struct str customer)
+lender_of(void *ctx, struct str customer)
 {
-    return front_home(((struct front *)ctx)->view, customer);
+    return front_lender(((struct front *)ctx)->view, customer);
 }
 
 void
@@ -385,12 +392,12 @@
     struct front_req *r;
     struct front_req *tmp;
 
-    if (now - f->scanned_ms < SCAN_MS) {
+    if (now - f->last_scan_ms < SCAN_INTERVAL_MS) {
         return;
     }
-    f->scanned_ms = now;
+    f->last_scan_ms = now;
     HASH_ITER (hh, f->reqs, r, tmp) {
-        tend(f, now, r, out);
+        handle_timeouts(f, now, r, out);
     }
-    lend_tick(&f->accounts, now, home_of, f, out);
+    quota_accounts_tick(&f->accounts, now, lender_of, f, out);
 }
--- a/front.h
+++ b/front.h
@@ -2,10 +2,13 @@
  * front - an entry's requests, from the caller's message to the answer
  *
  * A request is charged to its contract, sent to the owner of its partition
- * and sent again until an answer of that owner comes.  While the partition
- * map moves it is held for a bounded time; then the caller is told that the
- * outcome is unknown.  Each request has an id of its own, and an answer goes
- * only to the waiter of that id.
+ * and resent until that owner answers.  While the partition map changes, it
+ * is retried with a back-off for a bounded time; after that the caller gets
+ * the answer that the outcome is unknown.  Each request has its own id, and
+ * an answer goes only to the caller that waits for that id.
+ *
+ * Times named *_ms are milliseconds: settings are durations, fields of a
+ * request are on the monotonic clock that is passed in as `now`.
  */
 #ifndef FRONT_H
 #define FRONT_H
@@ -15,7 +18,7 @@
 #include <uthash.h>
 
 #include "act.h"
-#include "lend.h"
+#include "quota.h"
 #include "subkey.h"
 #include "view.h"
 
@@ -24,54 +27,58 @@
 #endif
 
 struct front_cfg {
-    uint32_t hold_ms;      /* without word from an owner */
-    uint32_t max_age_ms;   /* an older request may attach but not start */
-    uint32_t resend_ms;    /* of what was not answered */
-    uint32_t retry_min_ms; /* after an owner was not ready; doubles */
+    uint32_t owner_timeout_ms; /* without a reply from an owner, after which
+                                  the answer is "unknown" */
+    uint32_t max_age_ms;       /* an older request may attach to a job that
+                                  exists, but not start one */
+    uint32_t resend_ms;        /* of a request without a reply */
+    uint32_t retry_min_ms;     /* first back-off after an owner was not ready;
+                                  it doubles */
     uint32_t retry_max_ms;
-    uint32_t grace_ms; /* after the deadline, for the owner's answer */
-    uint32_t requests_max;
-    struct lend_cfg lend;
+    uint32_t answer_grace_ms; /* after the deadline, for the owner's answer to
+                                 arrive */
+    uint32_t requests_max;    /* that wait for an answer at once */
+    struct quota_cfg quota;
 };
 
 enum front_kind { FRONT_SUBMIT, FRONT_POLL, FRONT_CANCEL };
 
 struct front_req {
-    uint64_t request;
+    uint64_t request; /* id */
     enum front_kind kind;
-    struct subkey sk;
-    dw_msg *msg; /* a submit; the request's own copy */
-    bool needs_share;
-    bool has_spend;
-    struct lend_charge spend;
-    uint64_t received_ms;
+    struct subkey sk; /* customer and the caller's key */
+    dw_msg *msg;      /* a DW_SUBMIT; owned by the request */
+    bool needs_quota; /* not charged yet, so not sent yet */
+    bool charged;     /* charge is set and not released */
+    struct quota_charge charge;
+    uint64_t received_ms; /* when it may have arrived at the earliest */
     uint64_t deadline_ms;
-    uint64_t share_until_ms;
-    uint64_t heard_ms;
-    uint64_t next_ms;
-    uint32_t retry_ms;
-    uint64_t sent_to;
+    uint64_t quota_wait_until_ms; /* then sent without a charge */
+    uint64_t last_reply_ms;       /* of an owner; at first the arrival */
+    uint64_t next_try_ms;         /* to send, or to charge if needs_quota */
+    uint32_t backoff_ms;          /* 0: the last reply was not DW_A_MOVED */
+    uint64_t sent_to;             /* the owner last sent to; 0: none */
     UT_hash_handle hh;
 };
 
 struct front_stats {
     uint64_t requests;
-    uint64_t sends;
+    uint64_t sends; /* to owners, resends included */
     uint64_t resends;
-    uint64_t waits;
-    uint64_t over_limit;
-    uint64_t held;
-    uint64_t gave_up;
-    uint64_t late_answers; /* nobody waits for them any more */
+    uint64_t quota_waits;  /* attempts to charge that had to wait */
+    uint64_t over_limit;   /* requests sent without a charge */
+    uint64_t backoffs;     /* replies of owners that were not ready */
+    uint64_t gave_up;      /* requests answered "unknown" here */
+    uint64_t late_answers; /* to requests that do not exist any more */
 };
 
 struct front {
     struct front_cfg cfg;
     const struct view *view;
-    struct lend_accounts accounts;
-    struct front_req *reqs;
-    uint64_t seed;
-    uint64_t scanned_ms;
+    struct quota_accounts accounts;
+    struct front_req *reqs; /* by id */
+    uint64_t seed;          /* state of the random generator */
+    uint64_t last_scan_ms;
     struct front_stats stats;
 };
 
@@ -82,31 +89,35 @@
 void front_free(struct front *f);
 
 /*
- * Take a request, which may have waited for up to age_ms before this process
- * saw it.  msg is a DW_SUBMIT whose customer, key, body_hash and
- * tasks are set; the front owns it from here.  The answer comes as an
- * ACT_ANSWER with the request's id.  FRONT_BUSY: too many requests wait
- * here, nothing was sent.
+ * Accept a request that may have waited for up to age_ms before this process
+ * read it; its deadline is in deadline_ms from now.  msg is a DW_SUBMIT whose
+ * customer, key, body_hash and tasks are set; the front owns it from here.
+ * The answer comes as an ACT_ANSWER with the request's id.  FRONT_BUSY: too
+ * many requests wait here, nothing was sent.
  */
 enum front_status front_request(struct front *f, uint64_t now,
     uint64_t request, enum front_kind kind, dw_msg *msg, uint32_t age_ms,
     uint32_t deadline_ms, struct acts *out);
-/* The caller has gone; nobody waits for the answer. */
-void front_gone(struct front *f, uint64_t now, uint64_t request);
+/* The caller has disconnected; nobody waits for the answer. */
+void front_caller_disconnected(
+    struct front *f, uint64_t now, uint64_t request);
+/* An owner's DW_ANSWER. */
 void front_answer(struct front *f, uint64_t now, uint64_t from, dw_msg *msg,
     struct acts *out);
-void front_lent(struct front *f, uint64_t now, uint64_t from, const dw_lent *l,
-    struct acts *out);
-/* The partition map has moved: ask the new owners at once. */
+/* A lender's reply: charges the requests that wait for it. */
+void front_loan_reply(struct front *f, uint64_t now, uint64_t from,
+    const dw_lent *l, struct acts *out);
+/* The partition map has changed: resend to the new owners at once. */
 void front_view_changed(struct front *f, uint64_t now, struct acts *out);
 void front_tick(struct front *f, uint64_t now, struct acts *out);
 
 /* Queries. */
+/* Number of requests without an answer. */
 size_t front_waiting(const struct front *f);
-/* The agent that lends out a customer's limits; 0 if there is none. */
-uint64_t front_home(const struct view *v, struct str customer);
-/* The same, were the agent `without` not there. */
-uint64_t front_home_without(
+/* Id of the customer's lender, the agent that lends its limits; 0: none. */
+uint64_t front_lender(const struct view *v, struct str customer);
+/* The same, if the agent `without` were not a member. */
+uint64_t front_lender_without(
     const struct view *v, struct str customer, uint64_t without);
 
 #ifdef __cplusplus
--- a/job.c
+++ b/job.c
@@ -1,6 +1,6 @@
 #include "job-int.h"
 
-#include "lend.h"
+#include "quota.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/jobadmit.c
+++ b/jobadmit.c
@@ -1,6 +1,6 @@
 #include "job-int.h"
 
-#include "lend.h"
+#include "quota.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -70,14 +70,14 @@
 lookup_reason(const dw_submit *s)
 {
     static const char *const reasons[] = {
-        LEND_OVER, LEND_SETTLING, JOB_TOO_OLD};
+        QUOTA_OVER_LIMIT, QUOTA_SETTLING, JOB_TOO_OLD};
 
     for (size_t i = 0; i < sizeof(reasons) / sizeof(reasons[0]); i++) {
         if (str_is(str_bytes(&s->reason), reasons[i])) {
             return reasons[i];
         }
     }
-    return LEND_OVER;
+    return QUOTA_OVER_LIMIT;
 }
 
 /* NULL if the job may be admitted, else why not. */
--- a/metric.c
+++ b/metric.c
@@ -124,10 +124,10 @@
     add(b, COUNTER, "request_sends_total", s->sends);
     add(b, COUNTER, "request_resends_total", s->resends);
     add(b, COUNTER, "requests_over_limit_total", s->over_limit);
-    add(b, COUNTER, "requests_held_total", s->held);
+    add(b, COUNTER, "requests_held_total", s->backoffs);
     add(b, COUNTER, "requests_given_up_total", s->gave_up);
     add(b, COUNTER, "answers_late_total", s->late_answers);
-    add(b, COUNTER, "share_waits_total", s->waits);
+    add(b, COUNTER, "share_waits_total", s->quota_waits);
     add(b, GAUGE, "requests_waiting", front_waiting(&n->front));
 }
 
--- a/node.c
+++ b/node.c
@@ -60,16 +60,16 @@
         .give_max = 4,
         .leave_max = 256,
         .give_up_ms = 3000};
-    cfg->lend = (struct lend_cfg){.valid_ms = 10000,
+    cfg->quota = (struct quota_cfg){.valid_ms = 10000,
         .renew_ms = 1000,
         .settle_ms = 3500,
-        .hold_ms = 60000,
+        .slot_hold_ms = 60000,
         .wait_ms = 1000};
-    cfg->front = (struct front_cfg){.hold_ms = 10000,
+    cfg->front = (struct front_cfg){.owner_timeout_ms = 10000,
         .resend_ms = 1000,
         .retry_min_ms = 20,
         .retry_max_ms = 500,
-        .grace_ms = 2000,
+        .answer_grace_ms = 2000,
         .requests_max = 20000};
 }
 
@@ -80,7 +80,7 @@
     n->cfg = *cfg;
     n->self = cfg->me.id;
     n->agent = cfg->me.role == VIEW_AGENT;
-    n->cfg.front.lend = cfg->lend;
+    n->cfg.front.quota = cfg->quota;
     n->cfg.front.max_age_ms = cfg->job.max_age_ms;
     view_init(&n->view);
     mbr_init(&n->mbr, &cfg->mbr, n->self, cfg->seed);
@@ -91,22 +91,22 @@
     jobs_init(&n->jobs, &cfg->job, &n->view, &n->place, n->self);
     own_init(
         &n->own, &cfg->own, n->self, &n->view, &n->mbr, &n->sync, &n->jobs);
-    lend_homes_init(&n->homes, &cfg->lend);
+    quota_lender_init(&n->lender, &cfg->quota);
     front_init(&n->front, &n->cfg.front, &n->view, n->self);
 }
 
 void
 node_free(struct node *n)
 {
-    struct node_cust *c;
-    struct node_cust *tmp;
+    struct node_customer *c;
+    struct node_customer *tmp;
 
-    HASH_ITER (hh, n->custs, c, tmp) {
-        HASH_DEL(n->custs, c);
+    HASH_ITER (hh, n->customers, c, tmp) {
+        HASH_DEL(n->customers, c);
         free(c);
     }
     front_free(&n->front);
-    lend_homes_free(&n->homes);
+    quota_lender_free(&n->lender);
     own_free(&n->own);
     jobs_free(&n->jobs);
     host_free(&n->host);
@@ -121,7 +121,7 @@
 bool
 node_fresh(const struct node *n, uint64_t now)
 {
-    return n->bypass_gate || sync_fresh(&n->sync, now);
+    return n->bypass_freshness || sync_fresh(&n->sync, now);
 }
 
 bool
@@ -134,7 +134,7 @@
 
 /* Every input passes here first: decisions below use these two. */
 static void
-set_gates(struct node *n, uint64_t now)
+update_gates(struct node *n, uint64_t now)
 {
     n->jobs.may_admit = node_fresh(n, now);
     n->host.may_start = node_may_start(n, now);
@@ -143,26 +143,26 @@
 /* --- following the view --- */
 
 static bool
-is_home(const struct node *n, const char *customer)
+is_lender(const struct node *n, const char *customer)
 {
-    return front_home(&n->view, str_of(customer)) == n->self;
+    return front_lender(&n->view, str_of(customer)) == n->self;
 }
 
-static struct node_cust *
-note_customer(struct node *n, const char *name)
+static struct node_customer *
+get_customer(struct node *n, const char *name)
 {
-    struct node_cust *c;
+    struct node_customer *c;
 
-    HASH_FIND_STR(n->custs, name, c);
+    HASH_FIND_STR(n->customers, name, c);
     if (c == NULL) {
         c = dw_zero(1, sizeof(*c));
         str_copy(c->name, sizeof(c->name), str_of(name));
         /* Written while we were its home: nobody has lent from it before. */
-        c->first = n->was_listed;
-        if (!c->first) {
-            c->home = front_home_without(&n->view, str_of(name), n->self);
+        c->never_lent = n->was_listed;
+        if (!c->never_lent) {
+            c->lender = front_lender_without(&n->view, str_of(name), n->self);
         }
-        HASH_ADD_STR(n->custs, name, c);
+        HASH_ADD_STR(n->customers, name, c);
     }
     return c;
 }
@@ -170,64 +170,64 @@
 /*
  * The predecessor may be asked for its ledger only if it was the home until
  * now: our state was current within T, and within T no home between it and
- * us can have begun to lend (see lend_cfg.settle_ms), unless it was given
+ * us can have begun to lend (see quota_cfg.settle_ms), unless it was given
  * the ledger, which is given only once.
  */
 static void
-follow_home(struct node *n, uint64_t now, const struct contract *contract,
-    struct node_cust *c)
+update_lender(struct node *n, uint64_t now, const struct contract *contract,
+    struct node_customer *c)
 {
-    uint64_t home = front_home(&n->view, str_of(c->name));
+    uint64_t home = front_lender(&n->view, str_of(c->name));
 
     if (home != n->self) {
-        c->first = false;
-        c->prev = 0;
-        lend_freeze(&n->homes, now, str_of(c->name));
+        c->never_lent = false;
+        c->predecessor = 0;
+        quota_freeze_ledger(&n->lender, now, str_of(c->name));
     }
-    else if (c->home != n->self) {
-        c->prev = node_fresh(n, now) ? c->home : 0;
-        c->asked_ms = 0;
-        lend_home_open(&n->homes, now, contract, c->first);
+    else if (c->lender != n->self) {
+        c->predecessor = node_fresh(n, now) ? c->lender : 0;
+        c->ledger_requested_ms = 0;
+        quota_open_ledger(&n->lender, now, contract, c->never_lent);
     }
-    c->home = home;
+    c->lender = home;
 }
 
 static void
-follow_homes(struct node *n, uint64_t now)
+update_lenders(struct node *n, uint64_t now)
 {
     const struct view_contract *vc;
 
     for (vc = n->view.contracts; vc != NULL; vc = vc->hh.next) {
-        follow_home(n, now, &vc->c, note_customer(n, vc->c.customer));
+        update_lender(n, now, &vc->c, get_customer(n, vc->c.customer));
     }
 }
 
 /* Ask predecessors for their ledgers until they answer or are gone. */
 static void
-ask_ledgers(struct node *n, uint64_t now, struct acts *out)
+request_ledgers(struct node *n, uint64_t now, struct acts *out)
 {
-    struct node_cust *c;
+    struct node_customer *c;
 
-    for (c = n->custs; c != NULL; c = c->hh.next) {
+    for (c = n->customers; c != NULL; c = c->hh.next) {
         dw_msg *m;
 
-        if (c->prev == 0 || now - c->asked_ms < LEDGER_MS) {
+        if (c->predecessor == 0 || now - c->ledger_requested_ms < LEDGER_MS) {
             continue;
         }
-        if (view_member(&n->view, c->prev) == NULL ||
-            lend_whole(&n->homes, now, str_of(c->name))) {
-            c->prev = 0;
+        if (view_member(&n->view, c->predecessor) == NULL ||
+            quota_ledger_complete(&n->lender, now, str_of(c->name))) {
+            c->predecessor = 0;
             continue;
         }
-        c->asked_ms = now;
-        m = act_send(out, c->prev, DW_LEDGER_ASK);
+        c->ledger_requested_ms = now;
+        m = act_send(out, c->predecessor, DW_LEDGER_ASK);
         m->dw_msg_u.ledger_ask.customer = str_to_bytes(str_of(c->name));
     }
 }
 
 /* Agents that were listed and are not any more will never answer. */
 static void
-lose_hosts(struct node *n, uint64_t now, struct acts *out)
+report_lost_hosts(struct node *n, uint64_t now, struct acts *out)
 {
     struct place_host *h;
     struct place_host *tmp;
@@ -245,41 +245,42 @@
  * as that lasts, with a takeover each time; so each time it waits longer.
  */
 static void
-wait_to_relist(struct node *n, uint64_t now, bool listed)
+set_relist_backoff(struct node *n, uint64_t now, bool listed)
 {
     if (listed) {
         n->listed_ms = now;
         return;
     }
-    n->relist_ms =
-        now - n->listed_ms >= RELIST_MAX_MS ? RELIST_MIN_MS : 2 * n->relist_ms;
-    if (n->relist_ms < RELIST_MIN_MS) {
-        n->relist_ms = RELIST_MIN_MS;
+    n->relist_backoff_ms = now - n->listed_ms >= RELIST_MAX_MS
+                               ? RELIST_MIN_MS
+                               : 2 * n->relist_backoff_ms;
+    if (n->relist_backoff_ms < RELIST_MIN_MS) {
+        n->relist_backoff_ms = RELIST_MIN_MS;
     }
-    if (n->relist_ms > RELIST_MAX_MS) {
-        n->relist_ms = RELIST_MAX_MS;
+    if (n->relist_backoff_ms > RELIST_MAX_MS) {
+        n->relist_backoff_ms = RELIST_MAX_MS;
     }
-    n->relist_at = now + n->relist_ms;
+    n->relist_at_ms = now + n->relist_backoff_ms;
 }
 
 static void
-on_view(struct node *n, uint64_t now, struct acts *out)
+on_view_changed(struct node *n, uint64_t now, struct acts *out)
 {
     bool listed = view_member(&n->view, n->self) != NULL;
 
-    set_gates(n, now);
+    update_gates(n, now);
     /* Before members that left are forgotten: a lost owner may be one whose
      * death is proved. */
     own_view_changed(&n->own, now, out);
     mbr_sync(&n->mbr, &n->view, now);
-    lose_hosts(n, now, out);
+    report_lost_hosts(n, now, out);
     place_sync(&n->place, &n->view, &n->mbr);
     host_view_changed(&n->host);
-    follow_homes(n, now);
+    update_lenders(n, now);
     if (n->was_listed != listed) {
         act_event(out, "what=%s revision=%" PRIu64,
             listed ? "listed" : "not_listed", n->view.rev);
-        wait_to_relist(n, now, listed);
+        set_relist_backoff(n, now, listed);
     }
     if (n->was_listed && !listed && !n->leaving) {
         /* Held dead: owners have counted our queue as lost. */
@@ -294,7 +295,7 @@
 }
 
 static void
-on_members(struct node *n, uint64_t now, struct acts *out)
+on_members_changed(struct node *n, uint64_t now, struct acts *out)
 {
     struct mbr_peer *p;
 
@@ -309,7 +310,7 @@
 /* --- this process's own entry --- */
 
 static void
-member_txn(struct node *n, uint64_t now, bool leaving, struct acts *out)
+write_member(struct node *n, uint64_t now, bool leaving, struct acts *out)
 {
     struct view_member me = n->cfg.me;
     const struct view_member *listed = view_member(&n->view, n->self);
@@ -331,17 +332,17 @@
         txn_put(t, key.p, "{\"in\":true}");
     }
     buf_free(&key);
-    n->member_txn = true;
-    n->member_txn_ms = now;
+    n->member_txn_pending = true;
+    n->member_txn_sent_ms = now;
 }
 
 static void
-drop_self(struct node *n, uint64_t now, struct acts *out)
+remove_self(struct node *n, uint64_t now, struct acts *out)
 {
     const struct view_member *me = view_member(&n->view, n->self);
 
     if (me == NULL) {
-        n->removed = n->told_leaving;
+        n->removed = n->leaving_stored;
         return;
     }
     if (n->agent && !own_empty(&n->own) && n->view.have_map) {
@@ -353,25 +354,25 @@
 }
 
 static void
-tend_membership(struct node *n, uint64_t now, struct acts *out)
+update_membership(struct node *n, uint64_t now, struct acts *out)
 {
     const struct view_member *me = view_member(&n->view, n->self);
 
-    if (n->member_txn || !n->sync.ever ||
-        now - n->member_txn_ms < MEMBER_TXN_MS) {
+    if (n->member_txn_pending || !n->sync.ever ||
+        now - n->member_txn_sent_ms < MEMBER_TXN_MS) {
         return;
     }
     if (me == NULL && !n->leaving) {
-        if (now >= n->relist_at) {
-            member_txn(n, now, false, out);
+        if (now >= n->relist_at_ms) {
+            write_member(n, now, false, out);
         }
     }
     else if (me != NULL && n->leaving && !me->leaving) {
-        member_txn(n, now, true, out);
+        write_member(n, now, true, out);
     }
     else if (n->leaving) {
-        n->told_leaving |= me != NULL && me->leaving;
-        drop_self(n, now, out);
+        n->leaving_stored |= me != NULL && me->leaving;
+        remove_self(n, now, out);
     }
 }
 
@@ -382,7 +383,7 @@
         return;
     }
     n->leaving = true;
-    set_gates(n, now);
+    update_gates(n, now);
     own_leave(&n->own);
     host_release(&n->host, now, out);
 }
@@ -420,7 +421,7 @@
  * work itself tells a few loads along.
  */
 static void
-tell_loads(struct node *n, uint64_t now, struct acts *out)
+attach_load_hints(struct node *n, uint64_t now, struct acts *out)
 {
     struct act *a;
     dw_load own = {0};
@@ -438,15 +439,15 @@
 
 /* Tasks wait here: find out where there is room by now. */
 static void
-ask_loads(struct node *n, uint64_t now, struct acts *out)
+request_loads(struct node *n, uint64_t now, struct acts *out)
 {
     uint64_t ids[LOAD_ASKS];
     size_t count;
 
-    if (n->jobs.waiting == 0 || now - n->loads_ms < LOADS_MS) {
+    if (n->jobs.waiting == 0 || now - n->loads_requested_ms < LOADS_MS) {
         return;
     }
-    n->loads_ms = now;
+    n->loads_requested_ms = now;
     count = place_stale(&n->place, now, ids, LOAD_ASKS);
     for (size_t i = 0; i < count; i++) {
         mbr_ask_load(&n->mbr, ids[i], out);
@@ -461,19 +462,19 @@
     n->jobs.wall_ms = wall_ms;
     n->mbr.rev = n->view.rev;
     host_load(&n->host, &n->mbr.load);
-    set_gates(n, now);
+    update_gates(n, now);
     if (mbr_tick(&n->mbr, now, out)) {
-        on_members(n, now, out);
+        on_members_changed(n, now, out);
     }
     sync_tick(&n->sync, now, out);
-    set_gates(n, now);
-    tend_membership(n, now, out);
+    update_gates(n, now);
+    update_membership(n, now, out);
     if (n->agent) {
-        ask_ledgers(n, now, out);
-        lend_homes_tick(&n->homes, now);
+        request_ledgers(n, now, out);
+        quota_lender_tick(&n->lender, now);
         own_tick(&n->own, now, node_fresh(n, now), out);
         jobs_tick(&n->jobs, now, out);
-        ask_loads(n, now, out);
+        request_loads(n, now, out);
         host_tick(&n->host, now, out);
     }
     front_tick(&n->front, now, out);
@@ -551,7 +552,7 @@
 HANDLER(on_state)
 {
     if (sync_state(&n->sync, now, from, &msg->dw_msg_u.state)) {
-        on_view(n, now, out);
+        on_view_changed(n, now, out);
     }
 }
 
@@ -560,7 +561,7 @@
     const struct mbr_peer *p;
 
     if (mbr_message(&n->mbr, now, from, msg, out)) {
-        on_members(n, now, out);
+        on_members_changed(n, now, out);
     }
     p = mbr_peer(&n->mbr, from);
     if (p != NULL && p->have_load) {
@@ -573,26 +574,26 @@
     const dw_borrow *b = &msg->dw_msg_u.borrow;
     const struct view_contract *vc =
         view_contract(&n->view, str_bytes(&b->customer));
-    struct node_cust *c;
+    struct node_customer *c;
 
     /* A home cut off from the state could lend beside its successor. */
-    if (vc == NULL || !node_fresh(n, now) || !is_home(n, vc->c.customer)) {
+    if (vc == NULL || !node_fresh(n, now) || !is_lender(n, vc->c.customer)) {
         return;
     }
-    c = note_customer(n, vc->c.customer);
-    lend_asked(&n->homes, now, from, &vc->c, c->first, b, out);
+    c = get_customer(n, vc->c.customer);
+    quota_borrow(&n->lender, now, from, &vc->c, c->never_lent, b, out);
 }
 
 HANDLER(on_lent)
 {
-    front_lent(&n->front, now, from, &msg->dw_msg_u.lent, out);
+    front_loan_reply(&n->front, now, from, &msg->dw_msg_u.lent, out);
 }
 
 HANDLER(on_ledger_ask)
 {
     struct str customer = str_bytes(&msg->dw_msg_u.ledger_ask.customer);
 
-    lend_ledger_asked(&n->homes, now, from, customer, out);
+    quota_request_ledger(&n->lender, now, from, customer, out);
 }
 
 HANDLER(on_ledger)
@@ -600,16 +601,16 @@
     const dw_ledger *l = &msg->dw_msg_u.ledger;
     const struct view_contract *vc =
         view_contract(&n->view, str_bytes(&l->customer));
-    struct node_cust *c;
+    struct node_customer *c;
 
     (void)out;
-    if (vc == NULL || !node_fresh(n, now) || !is_home(n, vc->c.customer)) {
+    if (vc == NULL || !node_fresh(n, now) || !is_lender(n, vc->c.customer)) {
         return;
     }
-    c = note_customer(n, vc->c.customer);
-    if (c->prev == from) {
-        c->prev = 0;
-        lend_ledger(&n->homes, now, &vc->c, l);
+    c = get_customer(n, vc->c.customer);
+    if (c->predecessor == from) {
+        c->predecessor = 0;
+        quota_import_ledger(&n->lender, now, &vc->c, l);
     }
 }
 
@@ -649,7 +650,7 @@
 {
     size_t type = (size_t)msg->type;
 
-    set_gates(n, now);
+    update_gates(n, now);
     if (hints_of(msg) != NULL) {
         place_take_hints(&n->place, now, hints_of(msg));
     }
@@ -658,43 +659,44 @@
         handlers[type](n, now, from, msg, out);
     }
     if (n->agent) {
-        tell_loads(n, now, out);
+        attach_load_hints(n, now, out);
     }
 }
 
 void
-node_refused(struct node *n, uint64_t now, uint64_t id, struct acts *out)
+node_connection_refused(
+    struct node *n, uint64_t now, uint64_t id, struct acts *out)
 {
-    set_gates(n, now);
+    update_gates(n, now);
     if (mbr_refused(&n->mbr, now, id)) {
-        on_members(n, now, out);
+        on_members_changed(n, now, out);
     }
 }
 
 /* --- the store --- */
 
 void
-node_checked(struct node *n, uint64_t now, uint64_t asked_ms, uint64_t rev,
-    struct acts *out)
+node_store_checked(struct node *n, uint64_t now, uint64_t asked_ms,
+    uint64_t rev, struct acts *out)
 {
     sync_checked(&n->sync, asked_ms, rev, out);
-    set_gates(n, now);
+    update_gates(n, now);
 }
 
 void
-node_read(struct node *n, uint64_t now, uint64_t asked_ms, const dw_state *all,
-    struct acts *out)
+node_store_read(struct node *n, uint64_t now, uint64_t asked_ms,
+    const dw_state *all, struct acts *out)
 {
     bool moved = sync_read(&n->sync, now, asked_ms, all, out);
 
     if (moved) {
-        on_view(n, now, out);
+        on_view_changed(n, now, out);
     }
-    set_gates(n, now);
+    update_gates(n, now);
 }
 
 void
-node_read_failed(struct node *n)
+node_store_read_failed(struct node *n)
 {
     sync_read_failed(&n->sync);
 }
@@ -709,12 +711,12 @@
 node_txn_done(struct node *n, uint64_t now, uint64_t ref,
     enum txn_status status, struct acts *out)
 {
-    set_gates(n, now);
+    update_gates(n, now);
     if (ref == NODE_TXN_MAP) {
         own_txn_done(&n->own, now, status);
     }
     if (ref == NODE_TXN_MEMBER) {
-        n->member_txn = false;
+        n->member_txn_pending = false;
     }
     sync_hint(&n->sync, now, out);
 }
@@ -726,36 +728,36 @@
     enum front_kind kind, dw_msg *msg, uint32_t age_ms, uint32_t deadline_ms,
     struct acts *out)
 {
-    set_gates(n, now);
+    update_gates(n, now);
     return front_request(
         &n->front, now, request, kind, msg, age_ms, deadline_ms, out);
 }
 
 void
-node_gone(struct node *n, uint64_t now, uint64_t request)
+node_caller_disconnected(struct node *n, uint64_t now, uint64_t request)
 {
-    front_gone(&n->front, now, request);
+    front_caller_disconnected(&n->front, now, request);
 }
 
 void
 node_task_ended(struct node *n, uint64_t now, uint64_t ref, dw_tstate state,
     uint32_t code, struct str body, struct acts *out)
 {
-    set_gates(n, now);
+    update_gates(n, now);
     host_ended(&n->host, now, ref, state, code, body, out);
-    tell_loads(n, now, out);
+    attach_load_hints(n, now, out);
 }
 
 void
-node_backend(struct node *n, uint64_t now, bool serving, uint32_t slots,
+node_backend_status(struct node *n, uint64_t now, bool serving, uint32_t slots,
     struct acts *out)
 {
-    set_gates(n, now);
+    update_gates(n, now);
     host_serving(&n->host, now, serving, slots, out);
 }
 
 void
-node_usage(
+node_task_usage(
     struct node *n, struct str kind, uint32_t millicores, uint32_t memory_mb)
 {
     host_usage(&n->host, kind, millicores, memory_mb);
--- a/node.h
+++ b/node.h
@@ -16,7 +16,7 @@
 #include "front.h"
 #include "host.h"
 #include "job.h"
-#include "lend.h"
+#include "quota.h"
 #include "member.h"
 #include "own.h"
 #include "place.h"
@@ -43,17 +43,18 @@
     struct host_cfg host;
     struct job_cfg job;
     struct own_cfg own;
-    struct lend_cfg lend;
+    struct quota_cfg quota;
     struct front_cfg front;
 };
 
 /* What the home of a customer must know of the past. */
-struct node_cust {
+struct node_customer {
     char name[CT_NAME_MAX];
-    bool first;    /* there was never another home */
-    uint64_t home; /* as of the view last seen; 0: none */
-    uint64_t prev; /* the home before this process; 0: not to be asked */
-    uint64_t asked_ms;
+    bool never_lent; /* there was never another home */
+    uint64_t lender; /* as of the view last seen; 0: none */
+    uint64_t
+        predecessor; /* the home before this process; 0: not to be asked */
+    uint64_t ledger_requested_ms;
     UT_hash_handle hh;
 };
 
@@ -68,20 +69,20 @@
     struct host host;
     struct jobs jobs;
     struct own own;
-    struct lend_homes homes;
+    struct quota_lender lender;
     struct front front;
-    struct node_cust *custs;
+    struct node_customer *customers;
     bool leaving;
-    bool told_leaving; /* the store has it */
-    bool removed;      /* this process is off the list */
-    bool member_txn;
-    uint64_t member_txn_ms;
-    uint64_t listed_ms; /* since when this process is on the list */
-    uint64_t relist_ms; /* wait before entering itself again */
-    uint64_t relist_at;
-    uint64_t loads_ms;
+    bool leaving_stored; /* the store has it */
+    bool removed;        /* this process is off the list */
+    bool member_txn_pending;
+    uint64_t member_txn_sent_ms;
+    uint64_t listed_ms;         /* since when this process is on the list */
+    uint64_t relist_backoff_ms; /* wait before entering itself again */
+    uint64_t relist_at_ms;
+    uint64_t loads_requested_ms;
     bool was_listed;
-    bool bypass_gate; /* tests only: what the freshness gate is for */
+    bool bypass_freshness; /* tests only: what the freshness gate is for */
 };
 
 /* Defaults for every setting but `me` and `seed`. */
@@ -96,14 +97,15 @@
 void node_message(struct node *n, uint64_t now, uint64_t from, dw_msg *msg,
     struct acts *out);
 /* A process's port refuses connections: it is gone. */
-void node_refused(struct node *n, uint64_t now, uint64_t id, struct acts *out);
+void node_connection_refused(
+    struct node *n, uint64_t now, uint64_t id, struct acts *out);
 
 /* The store. */
-void node_checked(struct node *n, uint64_t now, uint64_t asked_ms,
+void node_store_checked(struct node *n, uint64_t now, uint64_t asked_ms,
     uint64_t rev, struct acts *out);
-void node_read(struct node *n, uint64_t now, uint64_t asked_ms,
+void node_store_read(struct node *n, uint64_t now, uint64_t asked_ms,
     const dw_state *all, struct acts *out);
-void node_read_failed(struct node *n);
+void node_store_read_failed(struct node *n);
 void node_store_hint(struct node *n, uint64_t now, struct acts *out);
 void node_txn_done(struct node *n, uint64_t now, uint64_t ref,
     enum txn_status status, struct acts *out);
@@ -112,14 +114,14 @@
 enum front_status node_request(struct node *n, uint64_t now, uint64_t request,
     enum front_kind kind, dw_msg *msg, uint32_t age_ms, uint32_t deadline_ms,
     struct acts *out);
-void node_gone(struct node *n, uint64_t now, uint64_t request);
+void node_caller_disconnected(struct node *n, uint64_t now, uint64_t request);
 
 /* The backend server, at an agent. */
 void node_task_ended(struct node *n, uint64_t now, uint64_t ref,
     dw_tstate state, uint32_t code, struct str body, struct acts *out);
-void node_backend(struct node *n, uint64_t now, bool serving, uint32_t slots,
-    struct acts *out);
-void node_usage(
+void node_backend_status(struct node *n, uint64_t now, bool serving,
+    uint32_t slots, struct acts *out);
+void node_task_usage(
     struct node *n, struct str kind, uint32_t millicores, uint32_t memory_mb);
 
 /* Leave: hand over, finish, get off the list. */
--- a/ops.c
+++ b/ops.c
@@ -548,7 +548,8 @@
     struct err e = {""};
 
     if (c->guaranteed == 0 || web_query(r, "override") != NULL ||
-        ct_keepable(guaranteed_with(&d->node.view, c), ds, n, &e) == CT_OK) {
+        ct_guarantees_fit(guaranteed_with(&d->node.view, c), ds, n, &e) ==
+            CT_OK) {
         return true;
     }
     web_problem(r, 409, "not_keepable", e.msg, 0);
@@ -910,7 +911,7 @@
             "want the bearer token of the operators", 0);
     }
     else if (rest[0] == '/' && routes[i].one != NULL) {
-        if (i < 2 && !ct_name_ok(str_of(rest + 1))) {
+        if (i < 2 && !ct_name_valid(str_of(rest + 1))) {
             web_problem(
                 r, 400, "bad_name", "want 1 to 63 of a-z 0-9 '-' '_' '.'", 0);
             return;
--- a/test/capacity.cc
+++ b/test/capacity.cc
@@ -56,7 +56,7 @@
     }
     f.run(15000);
     memory = (resident_mb() - memory) / nodes;
-    f.sniff = [&bytes, &each](Proc &from, Proc *, const dw_msg *m) {
+    f.on_message = [&bytes, &each](Proc &from, Proc *, const dw_msg *m) {
         /* RPC header and envelope, UDP and IP headers. */
         uint64_t n = msg_size(m) + 72 + 28;
 
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -65,12 +65,13 @@
     p.paused = false;
     p.left_at = 0;
     p.last_rev = 0;
-    p.held.clear();
+    p.deferred.clear();
     p.running.clear();
     uint64_t id = cfg.me.id;
     at(1 + random() % 10, [this, i, id] { tick(i, id); });
     if (i >= entry_count && !p.backend_leaving) {
-        input(i, id, [&](acts *as) { node_backend(&p.n, now, true, 0, as); });
+        input(i, id,
+            [&](acts *as) { node_backend_status(&p.n, now, true, 0, as); });
     }
 }
 
@@ -146,18 +147,18 @@
         return;
     }
     if (p.paused) {
-        p.held.push_back([this, i, id, fn] { input(i, id, fn); });
+        p.deferred.push_back([this, i, id, fn] { input(i, id, fn); });
         return;
     }
     acts_init(&as);
     fn(&as);
     carry_out(p, &as);
     if (p.n.view.rev < p.last_rev) {
-        faults.push_back(p.name + ": its revision went back");
+        violations.push_back(p.name + ": its revision went back");
     }
     p.last_rev = p.n.view.rev;
-    if (watch) {
-        watch(p);
+    if (after_input) {
+        after_input(p);
     }
 }
 
@@ -174,7 +175,7 @@
         if (node_done(&p.n) && p.left_at == 0) {
             p.left_at = now;
             if (!p.running.empty()) {
-                faults.push_back(p.name + ": left with tasks running");
+                violations.push_back(p.name + ": left with tasks running");
             }
             crash(i);
             return;
@@ -267,8 +268,8 @@
 
     messages++;
     messages_by_type[msg->type]++;
-    if (sniff) {
-        sniff(from, p, msg);
+    if (on_message) {
+        on_message(from, p, msg);
     }
     if (p == nullptr) {
         const struct view_member *m = view_member(&from.n.view, to);
@@ -279,7 +280,7 @@
                 if (procs[b]->name == m->name && cuts.count({a, b}) == 0) {
                     at(net.delay_ms, [this, a, from_id, to] {
                         input(a, from_id, [this, a, to](acts *as) {
-                            node_refused(&procs[a]->n, now, to, as);
+                            node_connection_refused(&procs[a]->n, now, to, as);
                         });
                     });
                 }
@@ -289,18 +290,18 @@
     }
     size_t b = index_of(*p);
 
-    if (cuts.count({a, b}) > 0 || chance() < net.loss) {
+    if (cuts.count({a, b}) > 0 || chance() < net.loss_rate) {
         return;
     }
-    int copies = chance() < net.repeat ? 2 : 1;
+    int copies = chance() < net.repeat_rate ? 2 : 1;
 
     for (int i = 0; i < copies; i++) {
         uint64_t delay = net.delay_ms + random() % 2;
         std::shared_ptr<dw_msg> copy(msg_clone(msg), msg_free);
         uint64_t sent = now;
 
-        if (chance() < net.late) {
-            delay += random() % net.late_ms;
+        if (chance() < net.delay_rate) {
+            delay += random() % net.delay_max_ms;
         }
         at(delay, [this, b, to, from_id, copy, sent] {
             deliver(b, to, from_id, copy, sent);
@@ -357,26 +358,26 @@
                        std::string(key.p, key.n) + " " +
                        std::to_string(r->task.index);
     uint64_t run_ms = strtoull(text(r->task.payload).c_str(), nullptr, 10);
-    bool fails =
-        p.fails_all || text(r->task.payload).find("fail") != std::string::npos;
+    bool fails = p.fails_all_tasks ||
+                 text(r->task.payload).find("fail") != std::string::npos;
 
     starts[name].push_back(Start{now, i, p.domain});
     p.running[ref] = name;
-    if (started) {
-        started(p, name);
+    if (on_task_start) {
+        on_task_start(p, name);
     }
     p.running_max = std::max(p.running_max, p.running.size());
     if (p.running.size() > p.n.host.cfg.slots) {
-        faults.push_back(p.name + ": more tasks than slots");
+        violations.push_back(p.name + ": more tasks than slots");
     }
     if (out_since.count(p.domain) > 0 &&
         now > out_since[p.domain] + TAKE_OUT_MS) {
-        faults.push_back(name + " started in " + p.domain + " " +
-                         std::to_string(now - out_since[p.domain]) +
-                         " ms after it was taken out");
+        violations.push_back(name + " started in " + p.domain + " " +
+                             std::to_string(now - out_since[p.domain]) +
+                             " ms after it was taken out");
     }
     if (p.backend_leaving && now > p.backend_left_at + 3000) {
-        faults.push_back(name + " started on a leaving backend server");
+        violations.push_back(name + " started on a leaving backend server");
     }
     at(run_ms, [this, i, id, ref, name, fails] {
         Proc &q = *procs[i];
@@ -418,7 +419,7 @@
     store.kvs[VIEW_LAST] = Value{".", store.rev};
     /* Watches tell the readers. */
     for (size_t i = 0; i < procs.size(); i++) {
-        if (procs[i]->up && !procs[i]->store_cut) {
+        if (procs[i]->up && !procs[i]->store_unreachable) {
             uint64_t id = procs[i]->n.self;
 
             at(net.delay_ms, [this, i, id] {
@@ -461,14 +462,14 @@
     };
 
     store.txns++;
-    if (store.down || p.store_cut) {
+    if (store.down || p.store_unreachable) {
         done(TXN_UNKNOWN, 50);
         return;
     }
     at(there, [this, copy, done] {
         bool ok = !store.down && apply(copy.get());
 
-        if (store.down || chance() < store.lose) {
+        if (store.down || chance() < store.answer_loss_rate) {
             done(TXN_UNKNOWN, 1000);
         }
         else {
@@ -486,10 +487,10 @@
     uint64_t there = net.delay_ms + store.slow_ms;
 
     store.reads++;
-    if (store.down || p.store_cut || store.slow_ms >= 1000) {
+    if (store.down || p.store_unreachable || store.slow_ms >= 1000) {
         at(store.slow_ms >= 1000 ? 1000 : 5, [this, i, id] {
-            input(
-                i, id, [this, i](acts *) { node_read_failed(&procs[i]->n); });
+            input(i, id,
+                [this, i](acts *) { node_store_read_failed(&procs[i]->n); });
         });
         return;
     }
@@ -519,10 +520,10 @@
                 const dw_state *got = &m->dw_msg_u.state;
 
                 if (what == ACT_READ_CHECK) {
-                    node_checked(&procs[i]->n, now, asked, got->rev, as);
+                    node_store_checked(&procs[i]->n, now, asked, got->rev, as);
                 }
                 else {
-                    node_read(&procs[i]->n, now, asked, got, as);
+                    node_store_read(&procs[i]->n, now, asked, got, as);
                 }
             });
         });
@@ -652,7 +653,7 @@
         r.answers.push_back(got);
         return;
     }
-    faults.push_back("an answer for nobody");
+    violations.push_back("an answer for nobody");
 }
 
 bool
@@ -722,7 +723,7 @@
         std::vector<std::function<void()>> held;
 
         q.paused = false;
-        held.swap(q.held);
+        held.swap(q.deferred);
         for (auto &fn : held) {
             fn();
         }
@@ -766,8 +767,9 @@
 
     p.backend_leaving = true;
     p.backend_left_at = now;
-    input(i, p.n.self,
-        [this, &p](acts *as) { node_backend(&p.n, now, false, 0, as); });
+    input(i, p.n.self, [this, &p](acts *as) {
+        node_backend_status(&p.n, now, false, 0, as);
+    });
 }
 
 /* --- checking --- */
@@ -782,33 +784,34 @@
         started += starts.count(name + " " + std::to_string(i));
     }
     if (r.answers.empty() && !r.entry_died) {
-        faults.push_back(name + ": never answered");
+        violations.push_back(name + ": never answered");
     }
     if (r.answers.size() > 1) {
-        faults.push_back(name + ": answered more than once");
+        violations.push_back(name + ": answered more than once");
     }
     for (auto &a : r.answers) {
         if (a.state == DW_A_NOT_RUN && started > 0) {
-            faults.push_back(name + ": not_run (" + a.reason + "), but " +
-                             std::to_string(started) + " tasks were started");
+            violations.push_back(name + ": not_run (" + a.reason + "), but " +
+                                 std::to_string(started) +
+                                 " tasks were started");
         }
         if (a.state == DW_A_COMPLETE && a.tasks.size() != r.tasks) {
-            faults.push_back(name + ": complete, but not whole");
+            violations.push_back(name + ": complete, but not whole");
         }
         for (size_t i = 0; i < a.tasks.size(); i++) {
             std::string task = name + " " + std::to_string(i);
 
             if (a.state == DW_A_COMPLETE && a.bodies[i] != "ran " + task) {
-                faults.push_back(task + ": got '" + a.bodies[i] + "'");
+                violations.push_back(task + ": got '" + a.bodies[i] + "'");
             }
             if (a.state == DW_A_FAILED && !a.bodies[i].empty()) {
-                faults.push_back(task + ": a partial answer");
+                violations.push_back(task + ": a partial answer");
             }
             if (a.tasks[i] == DW_T_NOT_STARTED && starts.count(task) > 0) {
-                faults.push_back(task + ": told not started, but it was");
+                violations.push_back(task + ": told not started, but it was");
             }
             if (a.tasks[i] == DW_T_DONE && starts.count(task) == 0) {
-                faults.push_back(task + ": told done, but never started");
+                violations.push_back(task + ": told done, but never started");
             }
         }
     }
@@ -825,7 +828,7 @@
                 line +=
                     " " + procs[one.proc]->name + "@" + std::to_string(one.at);
             }
-            faults.push_back(line);
+            violations.push_back(line);
         }
     }
 }
@@ -846,7 +849,7 @@
 {
     std::string all;
 
-    for (auto &f : faults) {
+    for (auto &f : violations) {
         all += f + "\n";
     }
     return all;
--- a/test/fleet.hh
+++ b/test/fleet.hh
@@ -53,23 +53,23 @@
     bool up = false;
     bool paused = false;
     bool backend_leaving = false;
-    bool fails_all = false;
-    bool store_cut = false;
+    bool fails_all_tasks = false;
+    bool store_unreachable = false;
     uint64_t backend_left_at = 0;
     uint64_t left_at = 0;
     uint64_t last_rev = 0;
     std::string name;
     std::string domain;
-    std::vector<std::function<void()>> held; /* while paused */
-    std::map<uint64_t, std::string> running; /* ref to task name */
+    std::vector<std::function<void()>> deferred; /* while paused */
+    std::map<uint64_t, std::string> running;     /* ref to task name */
     size_t running_max = 0;
 };
 
 struct Net {
-    double loss = 0;
-    double repeat = 0;
-    double late = 0; /* delayed by up to late_ms */
-    uint64_t late_ms = 2000;
+    double loss_rate = 0;
+    double repeat_rate = 0;
+    double delay_rate = 0; /* delayed by up to late_ms */
+    uint64_t delay_max_ms = 2000;
     uint64_t delay_ms = 1;
 };
 
@@ -82,7 +82,7 @@
     std::map<std::string, Value> kvs;
     uint64_t rev = 1;
     bool down = false;
-    double lose = 0;
+    double answer_loss_rate = 0;
     uint64_t slow_ms = 0;
     uint64_t txns = 0;
     uint64_t reads = 0;
@@ -102,18 +102,18 @@
     std::vector<std::unique_ptr<Proc>> procs; /* entries, then agents */
     std::vector<Request> requests;
     std::map<std::string, std::vector<Start>> starts; /* "customer key i" */
-    std::vector<std::string> faults;                  /* what check() found */
+    std::vector<std::string> violations;              /* what check() found */
     uint64_t messages = 0;
     std::map<int, uint64_t> messages_by_type;
     uint32_t memory_mb = 0; /* declared by the tasks of submit() */
     /* Settings for processes started from here on. */
     std::function<void(node_cfg &)> configure;
     /* Look at every node after each event; may add to faults. */
-    std::function<void(Proc &)> watch;
+    std::function<void(Proc &)> after_input;
     /* Look at every message that leaves, its sender and receiver. */
-    std::function<void(Proc &, Proc *, const dw_msg *)> sniff;
+    std::function<void(Proc &, Proc *, const dw_msg *)> on_message;
     /* Called as a task starts. */
-    std::function<void(Proc &, const std::string &)> started;
+    std::function<void(Proc &, const std::string &)> on_task_start;
 
     size_t
     entries() const
--- a/test/matrix-test.cc
+++ b/test/matrix-test.cc
@@ -120,10 +120,10 @@
 cut_off_sender(Fleet &f, const Actors &a)
 {
     f.cut_off(a.from);
-    f.procs[a.from]->store_cut = true;
+    f.procs[a.from]->store_unreachable = true;
     f.at(12000, [&f, a] {
         f.cut_off(a.from, false);
-        f.procs[a.from]->store_cut = false;
+        f.procs[a.from]->store_unreachable = false;
     });
 }
 
@@ -158,26 +158,26 @@
 void
 store_loses_answers(Fleet &f, const Actors &)
 {
-    f.store.lose = 0.7;
-    f.at(15000, [&f] { f.store.lose = 0; });
+    f.store.answer_loss_rate = 0.7;
+    f.at(15000, [&f] { f.store.answer_loss_rate = 0; });
 }
 
 void
 messages_lost(Fleet &f, const Actors &)
 {
-    f.net.loss = 0.2;
-    f.at(5000, [&f] { f.net.loss = 0; });
+    f.net.loss_rate = 0.2;
+    f.at(5000, [&f] { f.net.loss_rate = 0; });
 }
 
 void
 messages_late(Fleet &f, const Actors &)
 {
-    f.net.late = 0.2;
-    f.net.late_ms = 4000;
-    f.net.repeat = 0.2;
+    f.net.delay_rate = 0.2;
+    f.net.delay_max_ms = 4000;
+    f.net.repeat_rate = 0.2;
     f.at(8000, [&f] {
-        f.net.late = 0;
-        f.net.repeat = 0;
+        f.net.delay_rate = 0;
+        f.net.repeat_rate = 0;
     });
 }
 
@@ -245,7 +245,7 @@
 void
 worker_fails_all(Fleet &f, const Actors &a)
 {
-    f.procs[a.to]->fails_all = true;
+    f.procs[a.to]->fails_all_tasks = true;
 }
 
 void
@@ -375,7 +375,7 @@
     };
 
     if (step->type == 0) {
-        f.started = [&f, strike](Proc &p, const std::string &) {
+        f.on_task_start = [&f, strike](Proc &p, const std::string &) {
             Proc *owner = f.proc_of(f.owner_of("one", "k0"));
 
             strike(f.index_of(p),
@@ -383,7 +383,8 @@
         };
         return;
     }
-    f.sniff = [&f, strike, step](Proc &from, Proc *to, const dw_msg *msg) {
+    f.on_message = [&f, strike, step](
+                       Proc &from, Proc *to, const dw_msg *msg) {
         if (msg->type == step->type && to != nullptr) {
             strike(f.index_of(from), f.index_of(*to));
         }
--- a/test/property-test.cc
+++ b/test/property-test.cc
@@ -92,10 +92,10 @@
         break;
     case CUT_OFF:
         f.cut_off(who);
-        p.store_cut = b.whom % 2 == 0;
+        p.store_unreachable = b.whom % 2 == 0;
         f.at(b.length, [&f, who] {
             f.cut_off(who, false);
-            f.procs[who]->store_cut = false;
+            f.procs[who]->store_unreachable = false;
         });
         break;
     case STORE_DOWN:
@@ -103,8 +103,8 @@
         f.at(b.length, [&f] { f.store.down = false; });
         break;
     case STORE_LOSES:
-        f.store.lose = 0.5;
-        f.at(b.length, [&f] { f.store.lose = 0; });
+        f.store.answer_loss_rate = 0.5;
+        f.at(b.length, [&f] { f.store.answer_loss_rate = 0; });
         break;
     case DOMAIN_OUT:
         f.domain(p.domain, false);
@@ -166,17 +166,17 @@
     }
     f.contract("one");
     f.run(4000);
-    f.net.loss = loss;
-    f.net.repeat = loss;
-    f.net.late = loss;
+    f.net.loss_rate = loss;
+    f.net.repeat_rate = loss;
+    f.net.delay_rate = loss;
     load(f, 50, 100);
     for (auto &b : script) {
         f.at(b.at, [&f, b] { strike(f, b); });
     }
     f.run(9000);
-    f.net.loss = 0;
-    f.net.repeat = 0;
-    f.net.late = 0;
+    f.net.loss_rate = 0;
+    f.net.repeat_rate = 0;
+    f.net.delay_rate = 0;
     f.run(40000);
     f.check();
     return f.faults_text();
@@ -250,7 +250,7 @@
 {
     Fleet f(seed);
 
-    f.watch = [gate](Proc &p) { p.n.bypass_gate = !gate; };
+    f.after_input = [gate](Proc &p) { p.n.bypass_freshness = !gate; };
     EXPECT_TRUE(f.settle());
     f.contract("one");
     f.run(4000);
@@ -262,7 +262,7 @@
 
     for (size_t i : {owner, partner}) {
         f.cut_off(i);
-        f.procs[i]->store_cut = true;
+        f.procs[i]->store_unreachable = true;
     }
     f.cut(owner, partner, false);
     f.domain(f.procs[owner]->domain, false);
--- a/test/lend-test.cc
+++ b/test/quota-test.cc
@@ -10,17 +10,17 @@
 #include <memory>
 #include <random>
 
-#include "lend.h"
+#include "quota.h"
 
 namespace {
 
-lend_cfg
+quota_cfg
 config()
 {
-    return lend_cfg{.valid_ms = 10000,
+    return quota_cfg{.valid_ms = 10000,
         .renew_ms = 1000,
         .settle_ms = 3500,
-        .hold_ms = 60000,
+        .slot_hold_ms = 60000,
         .wait_ms = 1000};
 }
 
@@ -45,8 +45,8 @@
 
 /* One home and some entries, joined by a network that may misbehave. */
 struct Bench {
-    lend_homes homes;
-    std::vector<lend_accounts> entries;
+    quota_lender homes;
+    std::vector<quota_accounts> entries;
     contract c;
     uint64_t now = 1000000;
     std::mt19937_64 random;
@@ -56,11 +56,11 @@
     Bench(uint64_t seed, size_t n, const contract &limit)
         : entries(n), c(limit), random(seed)
     {
-        lend_cfg cfg = config();
+        quota_cfg cfg = config();
 
-        lend_homes_init(&homes, &cfg);
+        quota_lender_init(&homes, &cfg);
         for (auto &e : entries) {
-            lend_accounts_init(&e, &cfg);
+            quota_accounts_init(&e, &cfg);
         }
     }
 
@@ -69,9 +69,9 @@
         for (auto &w : wire) {
             msg_free(w.second.second);
         }
-        lend_homes_free(&homes);
+        quota_lender_free(&homes);
         for (auto &e : entries) {
-            lend_accounts_free(&e);
+            quota_accounts_free(&e);
         }
     }
 
@@ -103,10 +103,11 @@
 
         acts_init(&as);
         if (m->type == DW_BORROW) {
-            lend_asked(&homes, now, peer, &c, true, &m->dw_msg_u.borrow, &as);
+            quota_borrow(
+                &homes, now, peer, &c, true, &m->dw_msg_u.borrow, &as);
         }
         else {
-            lend_got(&entries[peer], now, 100, &m->dw_msg_u.lent);
+            quota_loan_reply(&entries[peer], now, 100, &m->dw_msg_u.lent);
         }
         carry(&as, peer);
         msg_free(m);
@@ -126,20 +127,20 @@
             acts as;
 
             acts_init(&as);
-            lend_tick(&entries[i], now, home_of, nullptr, &as);
+            quota_accounts_tick(&entries[i], now, home_of, nullptr, &as);
             carry(&as, i);
         }
     }
 
-    lend_verdict
-    spend(size_t i, uint32_t tasks, lend_charge *s)
+    quota_verdict
+    spend(size_t i, uint32_t tasks, quota_charge *s)
     {
         uint32_t retry = 0;
         acts as;
-        lend_verdict v;
+        quota_verdict v;
 
         acts_init(&as);
-        v = lend_spend(
+        v = quota_acquire(
             &entries[i], now, STR("one"), 100, tasks, s, &retry, &as);
         carry(&as, i);
         return v;
@@ -177,15 +178,15 @@
     EXPECT_EQ(read_then_write(50, 5), 50U);
     for (int ms = 0; ms < 900; ms++) {
         for (size_t i = 0; i < 50; i++) {
-            lend_charge s;
+            quota_charge s;
 
             if (waiting[i] == 0) {
                 continue;
             }
-            lend_verdict v = b.spend(i % 5, 1, &s);
+            quota_verdict v = b.spend(i % 5, 1, &s);
 
-            waiting[i] = v == LEND_WAIT;
-            passed += v == LEND_OK;
+            waiting[i] = v == QUOTA_WAIT;
+            passed += v == QUOTA_OK;
         }
         b.step();
     }
@@ -196,15 +197,15 @@
 TEST(Lend, ARefusedAttemptCostsNothing)
 {
     Bench b(2, 1, limits(1, 100, 10));
-    lend_charge s = {};
+    quota_charge s = {};
     size_t ok = 0;
 
     for (int ms = 0; ms < 1000; ms++) {
-        EXPECT_NE(b.spend(0, 31, &s), LEND_OK); /* pending allows 30 */
+        EXPECT_NE(b.spend(0, 31, &s), QUOTA_OK); /* pending allows 30 */
         b.step();
     }
     for (int ms = 0; ms < 400 && ok == 0; ms++) {
-        ok += b.spend(0, 30, &s) == LEND_OK;
+        ok += b.spend(0, 30, &s) == QUOTA_OK;
         b.step();
     }
     EXPECT_EQ(ok, 1U);
@@ -217,10 +218,10 @@
     size_t passed = 0;
 
     for (int ms = 0; ms < 2000; ms++) {
-        lend_charge s = {};
+        quota_charge s = {};
 
-        if (b.spend(0, 10, &s) == LEND_OK) {
-            lend_return(&b.entries[0], b.now, STR("one"), &s, true);
+        if (b.spend(0, 10, &s) == QUOTA_OK) {
+            quota_release(&b.entries[0], b.now, STR("one"), &s, true);
             passed++;
         }
         b.step();
@@ -231,7 +232,7 @@
 struct Job {
     uint64_t end;
     size_t entry;
-    lend_charge spend;
+    quota_charge spend;
 };
 
 /* Random spends over a network that loses, repeats and delays. */
@@ -253,16 +254,16 @@
                 continue;
             }
             used -= jobs[k].spend.running;
-            lend_return(&b.entries[jobs[k].entry], b.now, STR("one"),
+            quota_release(&b.entries[jobs[k].entry], b.now, STR("one"),
                 &jobs[k].spend, false);
             jobs[k] = jobs.back();
             jobs.pop_back();
         }
         if (b.random() % 3 == 0) {
             size_t i = b.random() % 4;
-            lend_charge s = {};
+            quota_charge s = {};
 
-            if (b.spend(i, 1 + b.random() % 6, &s) == LEND_OK) {
+            if (b.spend(i, 1 + b.random() % 6, &s) == QUOTA_OK) {
                 started += s.starts;
                 used += s.running;
                 jobs.push_back(Job{b.now + 20 + b.random() % 200, i, s});
@@ -276,7 +277,7 @@
         }
         dw_share sum;
 
-        lend_home_sum(&b.homes, STR("one"), &sum);
+        quota_loan_sum(&b.homes, STR("one"), &sum);
         if (sum.rate > (uint64_t)rate * 1000 || sum.burst > burst ||
             sum.running > running) {
             return "more on loan than the contract has";
--- a/test/unit-test.cc
+++ b/test/unit-test.cc
@@ -70,8 +70,8 @@
     const ct_domain ds[] = {{"kolding", 24}, {"aarhus", 32}, {"herning", 24}};
     err e = {""};
 
-    EXPECT_EQ(ct_keepable(48, ds, 3, &e), CT_OK);
-    EXPECT_EQ(ct_keepable(49, ds, 3, &e), CT_NOT_KEEPABLE);
+    EXPECT_EQ(ct_guarantees_fit(48, ds, 3, &e), CT_OK);
+    EXPECT_EQ(ct_guarantees_fit(49, ds, 3, &e), CT_OVERCOMMITTED);
     EXPECT_NE(strstr(e.msg, "49"), nullptr) << e.msg;
     EXPECT_NE(strstr(e.msg, "aarhus, 32"), nullptr) << e.msg;
     EXPECT_NE(strstr(e.msg, "48 of 80"), nullptr) << e.msg;
--- a/test/work-test.cc
+++ b/test/work-test.cc
@@ -103,7 +103,7 @@
         c.place.sick_permille = probation ? 500 : 100000;
     };
     ready(f);
-    f.agent(2).fails_all = true;
+    f.agent(2).fails_all_tasks = true;
     for (int i = 0; i < 400; i++) {
         f.at((uint64_t)i * 25, [&f, i] {
             f.submit(i % 2, "one", "k" + std::to_string(i), 1, 100);
