--- a/contract.c
+++ b/contract.c
@@ -6,12 +6,13 @@
 #include <stdio.h>
 #include <string.h>
 
+/* A numeric field of struct contract. */
 struct field {
     const char *name;
     size_t offset;
     uint32_t min;
     uint32_t max;
-    uint32_t initial;
+    uint32_t initial; /* if the JSON leaves it out */
 };
 
 static const struct field fields[] = {
@@ -185,7 +186,7 @@
 {
     const struct ct_domain *largest = NULL;
     uint64_t total = 0;
-    uint64_t left;
+    uint64_t remaining;
 
     for (size_t i = 0; i < count; i++) {
         total += ds[i].slots;
@@ -193,8 +194,8 @@
             largest = &ds[i];
         }
     }
-    left = total - (largest != NULL ? largest->slots : 0);
-    if (guaranteed <= left) {
+    remaining = total - (largest != NULL ? largest->slots : 0);
+    if (guaranteed <= remaining) {
         return CT_OK;
     }
     err_set(e,
@@ -203,7 +204,7 @@
         "slots remain",
         (unsigned long long)guaranteed,
         largest != NULL ? largest->name : "none",
-        largest != NULL ? largest->slots : 0, (unsigned long long)left,
+        largest != NULL ? largest->slots : 0, (unsigned long long)remaining,
         (unsigned long long)total);
     return CT_OVERCOMMITTED;
 }
--- a/node.c
+++ b/node.c
@@ -4,16 +4,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Between two tries to write this process's own entry. */
-#define MEMBER_TXN_MS 300
-/* Before this process enters itself again after it was taken off the list. */
+/* Between two attempts to write this process's member record. */
+#define MEMBER_TXN_INTERVAL_MS 300
+/* Before this process lists itself again after it was taken off the list. */
 #define RELIST_MIN_MS 250
 #define RELIST_MAX_MS 30000
-/* Between two questions to a predecessor for its ledger. */
-#define LEDGER_MS 100
-/* While tasks wait, so many hosts are asked for their load so often. */
-#define LOAD_ASKS 4
-#define LOADS_MS 50
+/* Between two requests to a predecessor for its ledger. */
+#define LEDGER_RETRY_MS 100
+/* While tasks wait, the loads of this many hosts are requested at this
+ * interval. */
+#define LOAD_REQUESTS_MAX 4
+#define LOAD_REQUEST_INTERVAL_MS 50
 
 typedef void (*handler)(struct node *n, uint64_t now, uint64_t from,
     dw_msg *msg, struct acts *out);
@@ -132,7 +133,8 @@
            view_domain_in(&n->view, n->cfg.me.domain);
 }
 
-/* Every input passes here first: decisions below use these two. */
+/* Called first with every input; the decisions of jobs and host use these two
+ * gates. */
 static void
 update_gates(struct node *n, uint64_t now)
 {
@@ -140,7 +142,7 @@
     n->host.may_start = node_may_start(n, now);
 }
 
-/* --- following the view --- */
+/* --- changes of the view --- */
 
 static bool
 is_lender(const struct node *n, const char *customer)
@@ -157,7 +159,8 @@
     if (c == NULL) {
         c = dw_zero(1, sizeof(*c));
         str_copy(c->name, sizeof(c->name), str_of(name));
-        /* Written while we were its home: nobody has lent from it before. */
+        /* The contract appeared while this process was a member: if it is the
+         * lender, nobody has lent from it before. */
         c->never_lent = n->was_listed;
         if (!c->never_lent) {
             c->lender = front_lender_without(&n->view, str_of(name), n->self);
@@ -168,18 +171,19 @@
 }
 
 /*
- * The predecessor may be asked for its ledger only if it was the home until
- * now: our state was current within T, and within T no home between it and
- * us can have begun to lend (see quota_cfg.settle_ms), unless it was given
- * the ledger, which is given only once.
+ * The predecessor's ledger may be requested only if it was the lender until
+ * now.  That holds if the state here was current within T: no lender between
+ * it and this process can have started to lend within T (see
+ * quota_cfg.settle_ms), unless it received the ledger, which is handed over
+ * only once.
  */
 static void
 update_lender(struct node *n, uint64_t now, const struct contract *contract,
     struct node_customer *c)
 {
-    uint64_t home = front_lender(&n->view, str_of(c->name));
+    uint64_t lender = front_lender(&n->view, str_of(c->name));
 
-    if (home != n->self) {
+    if (lender != n->self) {
         c->never_lent = false;
         c->predecessor = 0;
         quota_freeze_ledger(&n->lender, now, str_of(c->name));
@@ -189,7 +193,7 @@
         c->ledger_requested_ms = 0;
         quota_open_ledger(&n->lender, now, contract, c->never_lent);
     }
-    c->lender = home;
+    c->lender = lender;
 }
 
 static void
@@ -202,7 +206,7 @@
     }
 }
 
-/* Ask predecessors for their ledgers until they answer or are gone. */
+/* Request ledgers of predecessors until they reply or are removed. */
 static void
 request_ledgers(struct node *n, uint64_t now, struct acts *out)
 {
@@ -211,7 +215,8 @@
     for (c = n->customers; c != NULL; c = c->hh.next) {
         dw_msg *m;
 
-        if (c->predecessor == 0 || now - c->ledger_requested_ms < LEDGER_MS) {
+        if (c->predecessor == 0 ||
+            now - c->ledger_requested_ms < LEDGER_RETRY_MS) {
             continue;
         }
         if (view_member(&n->view, c->predecessor) == NULL ||
@@ -225,7 +230,7 @@
     }
 }
 
-/* Agents that were listed and are not any more will never answer. */
+/* Agents that were removed from the member list will never reply. */
 static void
 report_lost_hosts(struct node *n, uint64_t now, struct acts *out)
 {
@@ -240,9 +245,10 @@
 }
 
 /*
- * Others took this process off the list, as they cannot hear it, though it
- * reaches the store.  Entering itself again at once would go on for as long
- * as that lasts, with a takeover each time; so each time it waits longer.
+ * Others removed this process from the list because they cannot reach it,
+ * though it reaches the store.  If it listed itself again at once, this would
+ * repeat for as long as the fault lasts, with a takeover each time; so the
+ * wait doubles each time.
  */
 static void
 set_relist_backoff(struct node *n, uint64_t now, bool listed)
@@ -269,8 +275,8 @@
     bool listed = view_member(&n->view, n->self) != NULL;
 
     update_gates(n, now);
-    /* Before members that left are forgotten: a lost owner may be one whose
-     * death is proved. */
+    /* Before mbr_sync() forgets members that left: a lost owner may be one
+     * whose death is proved. */
     own_view_changed(&n->own, now, out);
     mbr_sync(&n->mbr, &n->view, now);
     report_lost_hosts(n, now, out);
@@ -283,7 +289,8 @@
         set_relist_backoff(n, now, listed);
     }
     if (n->was_listed && !listed && !n->leaving) {
-        /* Held dead: owners have counted our queue as lost. */
+        /* Others took this process for dead: owners have counted its queue as
+         * lost. */
         host_release(&n->host, now, out);
     }
     if (!view_domain_in(&n->view, n->cfg.me.domain)) {
@@ -307,7 +314,7 @@
     }
 }
 
-/* --- this process's own entry --- */
+/* --- this process's member record --- */
 
 static void
 write_member(struct node *n, uint64_t now, bool leaving, struct acts *out)
@@ -359,7 +366,7 @@
     const struct view_member *me = view_member(&n->view, n->self);
 
     if (n->member_txn_pending || !n->sync.ever ||
-        now - n->member_txn_sent_ms < MEMBER_TXN_MS) {
+        now - n->member_txn_sent_ms < MEMBER_TXN_INTERVAL_MS) {
         return;
     }
     if (me == NULL && !n->leaving) {
@@ -391,13 +398,13 @@
 bool
 node_done(const struct node *n)
 {
-    /* Others may have held us dead and taken us off the list already, while
-     * our backend server is still at work. */
+    /* Others may have taken this process for dead and removed it from the
+     * list, while its backend server still runs tasks. */
     return n->leaving && n->removed && front_waiting(&n->front) == 0 &&
            n->host.busy == 0 && n->host.queued == 0;
 }
 
-/* --- loads told along --- */
+/* --- load hints --- */
 
 static dw_hints *
 hints_of(dw_msg *m)
@@ -416,9 +423,9 @@
 }
 
 /*
- * An owner hears of a host's load only in its own exchanges with it, far too
- * seldom to know what other owners have put there.  So every message of the
- * work itself tells a few loads along.
+ * An owner learns a host's load only from its own exchanges with it, which
+ * are too rare to show what other owners have placed there.  So every message
+ * about tasks carries the loads of a few hosts.
  */
 static void
 attach_load_hints(struct node *n, uint64_t now, struct acts *out)
@@ -437,18 +444,19 @@
     }
 }
 
-/* Tasks wait here: find out where there is room by now. */
+/* While tasks wait here, find hosts with free capacity. */
 static void
 request_loads(struct node *n, uint64_t now, struct acts *out)
 {
-    uint64_t ids[LOAD_ASKS];
+    uint64_t ids[LOAD_REQUESTS_MAX];
     size_t count;
 
-    if (n->jobs.waiting == 0 || now - n->loads_requested_ms < LOADS_MS) {
+    if (n->jobs.waiting == 0 ||
+        now - n->loads_requested_ms < LOAD_REQUEST_INTERVAL_MS) {
         return;
     }
     n->loads_requested_ms = now;
-    count = place_stale(&n->place, now, ids, LOAD_ASKS);
+    count = place_stale(&n->place, now, ids, LOAD_REQUESTS_MAX);
     for (size_t i = 0; i < count; i++) {
         mbr_ask_load(&n->mbr, ids[i], out);
     }
@@ -576,7 +584,8 @@
         view_contract(&n->view, str_bytes(&b->customer));
     struct node_customer *c;
 
-    /* A home cut off from the state could lend beside its successor. */
+    /* A lender that cannot reach the state could lend at the same time as its
+     * successor. */
     if (vc == NULL || !node_fresh(n, now) || !is_lender(n, vc->c.customer)) {
         return;
     }
@@ -676,20 +685,20 @@
 /* --- the store --- */
 
 void
-node_store_checked(struct node *n, uint64_t now, uint64_t asked_ms,
+node_store_checked(struct node *n, uint64_t now, uint64_t requested_ms,
     uint64_t rev, struct acts *out)
 {
-    sync_checked(&n->sync, asked_ms, rev, out);
+    sync_checked(&n->sync, requested_ms, rev, out);
     update_gates(n, now);
 }
 
 void
-node_store_read(struct node *n, uint64_t now, uint64_t asked_ms,
+node_store_read(struct node *n, uint64_t now, uint64_t requested_ms,
     const dw_state *all, struct acts *out)
 {
-    bool moved = sync_read(&n->sync, now, asked_ms, all, out);
+    bool changed = sync_read(&n->sync, now, requested_ms, all, out);
 
-    if (moved) {
+    if (changed) {
         on_view_changed(n, now, out);
     }
     update_gates(n, now);
