--- a/node.c
+++ b/node.c
@@ -6,7 +6,8 @@
 
 /* Between two attempts to write this process's member record. */
 #define MEMBER_TXN_INTERVAL_MS 300
-/* Before this process lists itself again after it was taken off the list. */
+/* Before this process lists itself again after it was removed from the list.
+ */
 #define RELIST_MIN_MS 250
 #define RELIST_MAX_MS 30000
 /* Between two requests to a predecessor for its ledger. */
@@ -289,8 +290,8 @@
         set_relist_backoff(n, now, listed);
     }
     if (n->was_listed && !listed && !n->leaving) {
-        /* Others took this process for dead: owners have counted its queue as
-         * lost. */
+        /* Others considered this process dead: owners have counted its queue
+         * as lost. */
         host_release(&n->host, now, out);
     }
     if (!view_domain_in(&n->view, n->cfg.me.domain)) {
@@ -398,7 +399,7 @@
 bool
 node_done(const struct node *n)
 {
-    /* Others may have taken this process for dead and removed it from the
+    /* Others may have considered this process dead and removed it from the
      * list, while its backend server still runs tasks. */
     return n->leaving && n->removed && front_waiting(&n->front) == 0 &&
            n->host.busy == 0 && n->host.queued == 0;
--- a/quota.c
+++ b/quota.c
@@ -506,7 +506,7 @@
     a->peak_pending = num_max(a->peak_pending, a->pending_used + tasks);
 }
 
-/* The share to hold: `times` the peak demand.  Above 1 it has room for growth;
+/* The share to hold: `times` the peak demand.  Above 1 it allows for growth;
  * it is 1 while other borrowers get less than they want. */
 static void
 target_share(const struct quota_account *a, uint64_t times, dw_share *t)
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -3,9 +3,12 @@
 #include <algorithm>
 #include <cstring>
 
-static const uint64_t TRANSIT_MS = 3000; /* as link.h drops */
-static const uint64_t TAKE_OUT_MS = 3000 + 500;
-static const uint64_t WALL = 1800000000000;
+/* Older messages are dropped, as by link.h. */
+static const uint64_t TRANSIT_MAX_MS = 3000;
+/* After this a withdrawn domain must start nothing: T and a margin. */
+static const uint64_t WITHDRAWAL_MS = 3000 + 500;
+/* Wall clock at simulated time 0, ms since 1970. */
+static const uint64_t WALL_START_MS = 1800000000000;
 
 static std::string
 text(const dw_bytes &b)
@@ -135,8 +138,8 @@
 
 /* --- inputs --- */
 
-/* Run an input now, or when the process runs again; never for a process
- * that is another incarnation by then. */
+/* Passes an input to a process now, or at the end of its pause; dropped if
+ * another incarnation runs by then. */
 void
 Fleet::input(size_t i, uint64_t id, const std::function<void(acts *)> &fn)
 {
@@ -152,9 +155,9 @@
     }
     acts_init(&as);
     fn(&as);
-    carry_out(p, &as);
+    execute(p, &as);
     if (p.n.view.rev < p.last_rev) {
-        violations.push_back(p.name + ": its revision went back");
+        violations.push_back(p.name + ": its revision decreased");
     }
     p.last_rev = p.n.view.rev;
     if (after_input) {
@@ -171,7 +174,8 @@
         return;
     }
     if (!p.paused) {
-        input(i, id, [&](acts *as) { node_tick(&p.n, now, WALL + now, as); });
+        input(i, id,
+            [&](acts *as) { node_tick(&p.n, now, WALL_START_MS + now, as); });
         if (node_done(&p.n) && p.left_at == 0) {
             p.left_at = now;
             if (!p.running.empty()) {
@@ -185,7 +189,7 @@
 }
 
 void
-Fleet::carry_out(Proc &p, acts *as)
+Fleet::execute(Proc &p, acts *as)
 {
     act *a;
 
@@ -220,7 +224,7 @@
             break;
         }
         case ACT_ANSWER:
-            take_answer(a->ref, &a->msg->dw_msg_u.answer);
+            record_answer(a->ref, &a->msg->dw_msg_u.answer);
             break;
         case ACT_TXN:
             do_txn(p, a->txn, a->ref);
@@ -274,7 +278,7 @@
     if (p == nullptr) {
         const struct view_member *m = view_member(&from.n.view, to);
 
-        /* Its port refuses, unless the name cannot be reached at all. */
+        /* The host refuses the connection, unless the network is cut. */
         if (m != nullptr) {
             for (size_t b = 0; b < procs.size(); b++) {
                 if (procs[b]->name == m->name && cuts.count({a, b}) == 0) {
@@ -314,7 +318,7 @@
     const std::shared_ptr<dw_msg> &owned, uint64_t sent_at)
 {
     input(to, to_id, [this, to, from, owned, sent_at](acts *as) {
-        if (now - sent_at <= TRANSIT_MS) {
+        if (now - sent_at <= TRANSIT_MAX_MS) {
             node_message(&procs[to]->n, now, from, owned.get(), as);
         }
     });
@@ -328,7 +332,7 @@
     size_t i = index_of(p);
     uint64_t id = p.n.self;
 
-    /* A process may be paused between deciding and sending. */
+    /* A process may be paused between the decision and the request. */
     at(chance() < 0.1 ? 1 : 0, [this, i, id, ref] {
         input(i, id, [this, i, id, ref](acts *as) {
             Proc &q = *procs[i];
@@ -370,11 +374,11 @@
     if (p.running.size() > p.n.host.cfg.slots) {
         violations.push_back(p.name + ": more tasks than slots");
     }
-    if (out_since.count(p.domain) > 0 &&
-        now > out_since[p.domain] + TAKE_OUT_MS) {
+    if (withdrawn_since.count(p.domain) > 0 &&
+        now > withdrawn_since[p.domain] + WITHDRAWAL_MS) {
         violations.push_back(name + " started in " + p.domain + " " +
-                             std::to_string(now - out_since[p.domain]) +
-                             " ms after it was taken out");
+                             std::to_string(now - withdrawn_since[p.domain]) +
+                             " ms after it was withdrawn");
     }
     if (p.backend_leaving && now > p.backend_left_at + 3000) {
         violations.push_back(name + " started on a leaving backend server");
@@ -417,7 +421,7 @@
         }
     }
     store.kvs[VIEW_LAST] = Value{".", store.rev};
-    /* Watches tell the readers. */
+    /* Watches notify the processes. */
     for (size_t i = 0; i < procs.size(); i++) {
         if (procs[i]->up && !procs[i]->store_unreachable) {
             uint64_t id = procs[i]->n.self;
@@ -452,7 +456,7 @@
     size_t i = index_of(p);
     uint64_t id = p.n.self;
     std::shared_ptr<txn> copy = copy_txn(t);
-    uint64_t there = net.delay_ms + random() % 3 + store.slow_ms;
+    uint64_t transit_ms = net.delay_ms + random() % 3 + store.slow_ms;
     auto done = [this, i, id, ref](txn_status st, uint64_t in_ms) {
         at(in_ms, [this, i, id, ref, st] {
             input(i, id, [this, i, ref, st](acts *as) {
@@ -466,7 +470,7 @@
         done(TXN_UNKNOWN, 50);
         return;
     }
-    at(there, [this, copy, done] {
+    at(transit_ms, [this, copy, done] {
         bool ok = !store.down && apply(copy.get());
 
         if (store.down || chance() < store.answer_loss_rate) {
@@ -483,8 +487,8 @@
 {
     size_t i = index_of(p);
     uint64_t id = p.n.self;
-    uint64_t asked = now;
-    uint64_t there = net.delay_ms + store.slow_ms;
+    uint64_t requested_ms = now;
+    uint64_t transit_ms = net.delay_ms + store.slow_ms;
 
     store.reads++;
     if (store.down || p.store_unreachable || store.slow_ms >= 1000) {
@@ -494,7 +498,7 @@
         });
         return;
     }
-    at(there, [this, i, id, asked, what] {
+    at(transit_ms, [this, i, id, requested_ms, what] {
         std::shared_ptr<dw_msg> m(
             static_cast<dw_msg *>(dw_zero(1, sizeof(dw_msg))), msg_free);
         dw_state *st = &m->dw_msg_u.state;
@@ -515,15 +519,16 @@
         st->kvs.kvs_len = n;
         auto last = store.kvs.find(VIEW_LAST);
         st->rev = last != store.kvs.end() ? last->second.mod : 0;
-        at(net.delay_ms, [this, i, id, asked, what, m] {
-            input(i, id, [this, i, asked, what, m](acts *as) {
+        at(net.delay_ms, [this, i, id, requested_ms, what, m] {
+            input(i, id, [this, i, requested_ms, what, m](acts *as) {
                 const dw_state *got = &m->dw_msg_u.state;
 
                 if (what == ACT_READ_CHECK) {
-                    node_store_checked(&procs[i]->n, now, asked, got->rev, as);
+                    node_store_checked(
+                        &procs[i]->n, now, requested_ms, got->rev, as);
                 }
                 else {
-                    node_store_read(&procs[i]->n, now, asked, got, as);
+                    node_store_read(&procs[i]->n, now, requested_ms, got, as);
                 }
             });
         });
@@ -559,18 +564,18 @@
     uint64_t rev = store.rev;
 
     if (in) {
-        out_since.erase(name);
+        withdrawn_since.erase(name);
         return;
     }
     at(1, [this, name, rev] { await_accepted(name, rev); });
 }
 
-/* The promise counts from the instant the change is accepted. */
+/* The time limit counts from the moment the change is accepted. */
 void
 Fleet::await_accepted(const std::string &name, uint64_t rev)
 {
     if (accepted(rev)) {
-        out_since[name] = now;
+        withdrawn_since[name] = now;
         return;
     }
     at(10, [this, name, rev] { await_accepted(name, rev); });
@@ -638,7 +643,7 @@
 }
 
 void
-Fleet::take_answer(uint64_t request, const dw_answer *a)
+Fleet::record_answer(uint64_t request, const dw_answer *a)
 {
     for (auto &r : requests) {
         if (r.id != request) {
@@ -653,7 +658,7 @@
         r.answers.push_back(got);
         return;
     }
-    violations.push_back("an answer for nobody");
+    violations.push_back("an answer to an unknown request");
 }
 
 bool
@@ -720,11 +725,11 @@
         if (!q.up || q.n.self != id) {
             return;
         }
-        std::vector<std::function<void()>> held;
+        std::vector<std::function<void()>> deferred;
 
         q.paused = false;
-        held.swap(q.deferred);
-        for (auto &fn : held) {
+        deferred.swap(q.deferred);
+        for (auto &fn : deferred) {
             fn();
         }
     });
@@ -796,7 +801,7 @@
                                  " tasks were started");
         }
         if (a.state == DW_A_COMPLETE && a.tasks.size() != r.tasks) {
-            violations.push_back(name + ": complete, but not whole");
+            violations.push_back(name + ": complete, but tasks are missing");
         }
         for (size_t i = 0; i < a.tasks.size(); i++) {
             std::string task = name + " " + std::to_string(i);
@@ -808,10 +813,12 @@
                 violations.push_back(task + ": a partial answer");
             }
             if (a.tasks[i] == DW_T_NOT_STARTED && starts.count(task) > 0) {
-                violations.push_back(task + ": told not started, but it was");
+                violations.push_back(
+                    task + ": reported not started, but it was");
             }
             if (a.tasks[i] == DW_T_DONE && starts.count(task) == 0) {
-                violations.push_back(task + ": told done, but never started");
+                violations.push_back(
+                    task + ": reported done, but never started");
             }
         }
     }
@@ -845,7 +852,7 @@
 }
 
 std::string
-Fleet::faults_text() const
+Fleet::violations_text() const
 {
     std::string all;
 
--- a/test/matrix-test.cc
+++ b/test/matrix-test.cc
@@ -1,12 +1,11 @@
 /*
- * The fault matrix: every fault of the brief at every step of the path,
- * each followed by a check of all promises.
+ * Fault matrix: every kind of fault at every step of a request's path, each
+ * followed by a check of all promises.
  *
- * A steady load runs on two entries and six agents in three failure
- * domains; a third of the submissions are resubmitted at once through the
- * other entry.  When the step is seen for the first time after the load has
- * begun, the fault strikes the process named by the row.  Then the load ends
- * and the fleet has time to come to rest.
+ * A steady load runs on two entries and six agents in three failure domains;
+ * a third of the submissions are resubmitted at once through the other entry.
+ * The fault is injected when the step is first seen under load.  Then the load
+ * ends and the fleet has time to recover.
  */
 #include <gtest/gtest.h>
 
@@ -16,17 +15,18 @@
 
 namespace {
 
-/* Who a fault strikes, of those that take part in the step. */
-struct Actors {
-    size_t from;
-    size_t to;
+/* The processes that take part in the step, one of which gets the fault. */
+struct Participants {
+    size_t from; /* index of the sender */
+    size_t to;   /* index of the receiver */
 };
 
 struct Step {
     const char *name;
-    dw_mtype type; /* the message that shows it; 0: a start */
-    bool needs_leave;
-    bool needs_change;
+    dw_mtype type;     /* of the message that marks the step; 0: the start
+                          of a task */
+    bool needs_leave;  /* an agent must stop for it */
+    bool needs_change; /* the configuration must change for it */
 };
 
 const Step steps[] = {
@@ -44,80 +44,80 @@
 
 struct Fault {
     const char *name;
-    void (*strike)(Fleet &f, const Actors &a);
+    void (*inject)(Fleet &f, const Participants &a);
 };
 
 void
-crash_sender(Fleet &f, const Actors &a)
+crash_sender(Fleet &f, const Participants &a)
 {
     f.crash(a.from);
 }
 
 void
-crash_receiver(Fleet &f, const Actors &a)
+crash_receiver(Fleet &f, const Participants &a)
 {
     f.crash(a.to);
 }
 
 void
-restart_receiver(Fleet &f, const Actors &a)
+restart_receiver(Fleet &f, const Participants &a)
 {
     f.restart(a.to);
 }
 
 void
-crash_both(Fleet &f, const Actors &a)
+crash_both(Fleet &f, const Participants &a)
 {
     f.crash(a.from);
     f.crash(a.to);
 }
 
 void
-pause_sender_1(Fleet &f, const Actors &a)
+pause_sender_1(Fleet &f, const Participants &a)
 {
     f.pause(a.from, 1000);
 }
 
 void
-pause_receiver_1(Fleet &f, const Actors &a)
+pause_receiver_1(Fleet &f, const Participants &a)
 {
     f.pause(a.to, 1000);
 }
 
 void
-pause_sender_5(Fleet &f, const Actors &a)
+pause_sender_5(Fleet &f, const Participants &a)
 {
     f.pause(a.from, 5000);
 }
 
 void
-pause_receiver_5(Fleet &f, const Actors &a)
+pause_receiver_5(Fleet &f, const Participants &a)
 {
     f.pause(a.to, 5000);
 }
 
 void
-pause_sender_30(Fleet &f, const Actors &a)
+pause_sender_30(Fleet &f, const Participants &a)
 {
     f.pause(a.from, 30000);
 }
 
 void
-pause_receiver_30(Fleet &f, const Actors &a)
+pause_receiver_30(Fleet &f, const Participants &a)
 {
     f.pause(a.to, 30000);
 }
 
-/* The open connection goes silent for good; a new one works later. */
+/* The open connection stops delivering; a new one works 2.5 s later. */
 void
-silent_pair(Fleet &f, const Actors &a)
+silent_pair(Fleet &f, const Participants &a)
 {
     f.cut(a.from, a.to);
     f.at(2500, [&f, a] { f.cut(a.from, a.to, false); });
 }
 
 void
-cut_off_sender(Fleet &f, const Actors &a)
+cut_off_sender(Fleet &f, const Participants &a)
 {
     f.cut_off(a.from);
     f.procs[a.from]->store_unreachable = true;
@@ -128,49 +128,49 @@
 }
 
 void
-cut_off_receiver(Fleet &f, const Actors &a)
+cut_off_receiver(Fleet &f, const Participants &a)
 {
-    cut_off_sender(f, Actors{a.to, a.from});
+    cut_off_sender(f, Participants{a.to, a.from});
 }
 
-/* The peers are cut away, but the store is still reached. */
+/* The peers cannot be reached, but the store can. */
 void
-cut_from_peers(Fleet &f, const Actors &a)
+cut_from_peers(Fleet &f, const Participants &a)
 {
     f.cut_off(a.to);
     f.at(12000, [&f, a] { f.cut_off(a.to, false); });
 }
 
 void
-store_down(Fleet &f, const Actors &)
+store_down(Fleet &f, const Participants &)
 {
     f.store.down = true;
     f.at(15000, [&f] { f.store.down = false; });
 }
 
 void
-store_slow(Fleet &f, const Actors &)
+store_slow(Fleet &f, const Participants &)
 {
     f.store.slow_ms = 900;
     f.at(15000, [&f] { f.store.slow_ms = 0; });
 }
 
 void
-store_loses_answers(Fleet &f, const Actors &)
+store_loses_answers(Fleet &f, const Participants &)
 {
     f.store.answer_loss_rate = 0.7;
     f.at(15000, [&f] { f.store.answer_loss_rate = 0; });
 }
 
 void
-messages_lost(Fleet &f, const Actors &)
+messages_lost(Fleet &f, const Participants &)
 {
     f.net.loss_rate = 0.2;
     f.at(5000, [&f] { f.net.loss_rate = 0; });
 }
 
 void
-messages_late(Fleet &f, const Actors &)
+messages_late(Fleet &f, const Participants &)
 {
     f.net.delay_rate = 0.2;
     f.net.delay_max_ms = 4000;
@@ -182,7 +182,7 @@
 }
 
 void
-domain_out(Fleet &f, const Actors &a)
+domain_out(Fleet &f, const Participants &a)
 {
     std::string d = f.procs[a.to]->domain;
 
@@ -190,40 +190,41 @@
     f.at(12000, [&f, d] { f.domain(d, true); });
 }
 
-/* Taken out at the very moment one of its processes is cut off. */
+/* The domain is withdrawn while one of its processes is cut off. */
 void
-domain_out_and_cut_off(Fleet &f, const Actors &a)
+domain_out_and_cut_off(Fleet &f, const Participants &a)
 {
     domain_out(f, a);
     cut_off_receiver(f, a);
 }
 
 void
-domain_out_and_paused(Fleet &f, const Actors &a)
+domain_out_and_paused(Fleet &f, const Participants &a)
 {
     domain_out(f, a);
     f.pause(a.to, 5000);
 }
 
-/* The owner is paused while its partitions are taken over, then the taker
- * dies, too. */
+/* The sender is paused for long enough that its partitions are taken over;
+ * meanwhile the receiver crashes, too. */
 void
-pause_and_crash(Fleet &f, const Actors &a)
+pause_and_crash(Fleet &f, const Participants &a)
 {
     f.pause(a.from, 9000);
     f.at(6000, [&f, a] { f.crash(a.to); });
 }
 
 void
-pause_and_store_down(Fleet &f, const Actors &a)
+pause_and_store_down(Fleet &f, const Participants &a)
 {
     f.pause(a.from, 6000);
     store_down(f, a);
 }
 
-/* Two operators race over one failure domain while answers get lost. */
+/* Operators withdraw and restore one failure domain in quick succession, while
+ * the store loses answers. */
 void
-operators_race(Fleet &f, const Actors &a)
+operators_race(Fleet &f, const Participants &a)
 {
     std::string d = f.procs[a.to]->domain;
 
@@ -235,7 +236,7 @@
 }
 
 void
-backend_leaves(Fleet &f, const Actors &a)
+backend_leaves(Fleet &f, const Participants &a)
 {
     size_t i = a.to < f.entries() ? f.entries() : a.to;
 
@@ -243,25 +244,25 @@
 }
 
 void
-worker_fails_all(Fleet &f, const Actors &a)
+worker_fails_all(Fleet &f, const Participants &a)
 {
     f.procs[a.to]->fails_all_tasks = true;
 }
 
 void
-planned_stop_sender(Fleet &f, const Actors &a)
+planned_stop_sender(Fleet &f, const Participants &a)
 {
     f.leave(a.from);
 }
 
 void
-planned_stop_receiver(Fleet &f, const Actors &a)
+planned_stop_receiver(Fleet &f, const Participants &a)
 {
     f.leave(a.to);
 }
 
 void
-cancel_wave(Fleet &f, const Actors &)
+cancel_wave(Fleet &f, const Participants &)
 {
     size_t n = f.requests.size();
 
@@ -275,7 +276,7 @@
 }
 
 void
-burst(Fleet &f, const Actors &)
+burst(Fleet &f, const Participants &)
 {
     for (int i = 0; i < 40; i++) {
         f.submit(i % 2, "one", "burst" + std::to_string(i), 10, 200);
@@ -283,7 +284,7 @@
 }
 
 void
-domain_lost(Fleet &f, const Actors &a)
+domain_lost(Fleet &f, const Participants &a)
 {
     for (size_t i = 0; i < f.procs.size(); i++) {
         if (f.procs[i]->domain == f.procs[a.to]->domain) {
@@ -293,7 +294,7 @@
 }
 
 void
-restart_all(Fleet &f, const Actors &)
+restart_all(Fleet &f, const Participants &)
 {
     for (size_t i = 0; i < f.procs.size(); i++) {
         f.at(500 * (i + 1), [&f, i] {
@@ -361,32 +362,32 @@
     }
 }
 
-/* Strike once, when the step is first seen. */
+/* Injects the fault once, when the step is first seen. */
 void
-arm(Fleet &f, const Fault *fault, const Step *step, bool &struck)
+inject_at_step(Fleet &f, const Fault *fault, const Step *step, bool &injected)
 {
-    auto strike = [&f, fault, &struck](size_t from, size_t to) {
-        if (!struck) {
-            struck = true;
+    auto inject = [&f, fault, &injected](size_t from, size_t to) {
+        if (!injected) {
+            injected = true;
             f.at(0, [&f, fault, from, to] {
-                fault->strike(f, Actors{from, to});
+                fault->inject(f, Participants{from, to});
             });
         }
     };
 
     if (step->type == 0) {
-        f.on_task_start = [&f, strike](Proc &p, const std::string &) {
+        f.on_task_start = [&f, inject](Proc &p, const std::string &) {
             Proc *owner = f.proc_of(f.owner_of("one", "k0"));
 
-            strike(f.index_of(p),
+            inject(f.index_of(p),
                 owner != nullptr ? f.index_of(*owner) : f.index_of(p));
         };
         return;
     }
-    f.on_message = [&f, strike, step](
+    f.on_message = [&f, inject, step](
                        Proc &from, Proc *to, const dw_msg *msg) {
         if (msg->type == step->type && to != nullptr) {
-            strike(f.index_of(from), f.index_of(*to));
+            inject(f.index_of(from), f.index_of(*to));
         }
     };
 }
@@ -396,12 +397,12 @@
     const Fault *fault = std::get<0>(GetParam());
     const Step *step = std::get<1>(GetParam());
     Fleet f(str_hash(str_of(fault->name), str_hash(str_of(step->name), 0)));
-    bool struck = false;
+    bool injected = false;
 
     ASSERT_TRUE(f.settle());
     f.contract("one");
     f.run(6000);
-    arm(f, fault, step, struck);
+    inject_at_step(f, fault, step, injected);
     load(f, 60);
     if (step->needs_leave) {
         f.at(1500, [&f] { f.leave(f.entries()); });
@@ -410,9 +411,9 @@
         f.at(1500, [&f] { f.contract("two"); });
     }
     f.run(50000);
-    ASSERT_TRUE(struck) << "the step was never seen";
+    ASSERT_TRUE(injected) << "the step was never seen";
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 std::vector<const Fault *>
--- a/test/member-test.cc
+++ b/test/member-test.cc
@@ -84,7 +84,7 @@
     EXPECT_EQ(f.answer(after).state, DW_A_COMPLETE) << f.answer(after).reason;
     EXPECT_EQ(f.answer(again).reason, "owner_lost");
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 /* A process is cut off from all others but still reaches the store.  It holds
--- a/test/path-test.cc
+++ b/test/path-test.cc
@@ -1,10 +1,10 @@
-/* The path of a request through nodes in one process, without faults. */
+/* Requests from caller to answer through several nodes, without faults. */
 #include <gtest/gtest.h>
 
 #include "fleet.hh"
 
-/* A caller submits through one entry and again through another: one job
- * runs, both callers get its whole answer. */
+/* A job is submitted through one entry and again through another: it runs
+ * once, and both callers get its complete answer. */
 TEST(Path, ResubmissionThroughAnotherEntryAttaches)
 {
     Fleet f(1);
@@ -19,10 +19,10 @@
     EXPECT_EQ(f.answer(a).state, DW_A_COMPLETE);
     EXPECT_EQ(f.answer(b).state, DW_A_COMPLETE);
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
-/* Many jobs of many sizes on a fleet that has room for all. */
+/* Many jobs of many sizes on a fleet with enough capacity for all. */
 TEST(Path, ManyJobsAllComplete)
 {
     Fleet f(2, 3, 10);
@@ -42,5 +42,5 @@
         EXPECT_EQ(f.answer(i).state, DW_A_COMPLETE) << f.answer(i).reason;
     }
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
--- a/test/property-test.cc
+++ b/test/property-test.cc
@@ -1,9 +1,9 @@
 /*
  * Properties over random interleavings: RapidCheck draws a script of faults
- * and load, several nodes run it in one process.  RC_PARAMS gives another
+ * and load, which several nodes run in one process.  RC_PARAMS sets another
  * seed or more runs; the seed of a failure is printed.
  *
- * Guards: with one safeguard taken out, the same property must fail.
+ * Guard tests: with one safeguard disabled, the same property must fail.
  */
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -28,91 +28,95 @@
     KINDS
 };
 
-struct Blow {
+struct Fault {
     int kind;
-    uint64_t at;
-    size_t who;
-    size_t whom;
-    uint64_t length;
+    uint64_t at;       /* ms after the load started */
+    size_t target;     /* index of the process, modulo their number */
+    size_t peer;       /* of its peer, the same way */
+    uint64_t duration; /* ms */
 };
 
 void
-showValue(const Blow &b, std::ostream &os)
+showValue(const Fault &fault, std::ostream &os)
 {
-    os << "{kind " << b.kind << " at " << b.at << " who " << b.who << " whom "
-       << b.whom << " for " << b.length << "}";
+    os << "{kind " << fault.kind << " at " << fault.at << " target "
+       << fault.target << " peer " << fault.peer << " for " << fault.duration
+       << "}";
 }
 
 std::ostream &
-operator<<(std::ostream &os, const Blow &b)
+operator<<(std::ostream &os, const Fault &fault)
 {
-    showValue(b, os);
+    showValue(fault, os);
     return os;
 }
 
-rc::Gen<Blow>
-blows()
+rc::Gen<Fault>
+random_fault()
 {
-    return rc::gen::build<Blow>(
-        rc::gen::set(&Blow::kind, rc::gen::inRange<int>(0, KINDS)),
-        rc::gen::set(&Blow::at, rc::gen::inRange<uint64_t>(0, 8000)),
-        rc::gen::set(&Blow::who, rc::gen::inRange<size_t>(0, 8)),
-        rc::gen::set(&Blow::whom, rc::gen::inRange<size_t>(0, 8)),
-        rc::gen::set(&Blow::length, rc::gen::inRange<uint64_t>(200, 20000)));
+    return rc::gen::build<Fault>(
+        rc::gen::set(&Fault::kind, rc::gen::inRange<int>(0, KINDS)),
+        rc::gen::set(&Fault::at, rc::gen::inRange<uint64_t>(0, 8000)),
+        rc::gen::set(&Fault::target, rc::gen::inRange<size_t>(0, 8)),
+        rc::gen::set(&Fault::peer, rc::gen::inRange<size_t>(0, 8)),
+        rc::gen::set(
+            &Fault::duration, rc::gen::inRange<uint64_t>(200, 20000)));
 }
 
 void
-strike(Fleet &f, const Blow &b)
+inject(Fleet &f, const Fault &fault)
 {
     size_t n = f.procs.size();
-    size_t who = b.who % n;
-    size_t whom = b.whom % n;
-    Proc &p = *f.procs[who];
+    size_t target = fault.target % n;
+    size_t peer = fault.peer % n;
+    Proc &p = *f.procs[target];
 
     if (!p.up) {
         return;
     }
-    switch (b.kind) {
+    switch (fault.kind) {
     case CRASH:
-        f.crash(who);
-        f.at(b.length, [&f, who] { f.restart(who); });
+        f.crash(target);
+        f.at(fault.duration, [&f, target] { f.restart(target); });
         break;
     case RESTART:
-        f.restart(who);
+        f.restart(target);
         break;
     case PAUSE:
-        f.pause(who, b.length);
+        f.pause(target, fault.duration);
         break;
     case LEAVE:
-        f.leave(who);
+        f.leave(target);
         break;
     case CUT:
-        f.cut(who, whom);
-        f.at(b.length, [&f, who, whom] { f.cut(who, whom, false); });
+        f.cut(target, peer);
+        f.at(fault.duration,
+            [&f, target, peer] { f.cut(target, peer, false); });
         break;
     case CUT_OFF:
-        f.cut_off(who);
-        p.store_unreachable = b.whom % 2 == 0;
-        f.at(b.length, [&f, who] {
-            f.cut_off(who, false);
-            f.procs[who]->store_unreachable = false;
+        f.cut_off(target);
+        p.store_unreachable = fault.peer % 2 == 0;
+        f.at(fault.duration, [&f, target] {
+            f.cut_off(target, false);
+            f.procs[target]->store_unreachable = false;
         });
         break;
     case STORE_DOWN:
         f.store.down = true;
-        f.at(b.length, [&f] { f.store.down = false; });
+        f.at(fault.duration, [&f] { f.store.down = false; });
         break;
     case STORE_LOSES:
         f.store.answer_loss_rate = 0.5;
-        f.at(b.length, [&f] { f.store.answer_loss_rate = 0; });
+        f.at(fault.duration, [&f] { f.store.answer_loss_rate = 0; });
         break;
     case DOMAIN_OUT:
         f.domain(p.domain, false);
-        f.at(b.length, [&f, who] { f.domain(f.procs[who]->domain, true); });
+        f.at(fault.duration,
+            [&f, target] { f.domain(f.procs[target]->domain, true); });
         break;
     case BACKEND_LEAVES:
-        if (who >= f.entries()) {
-            f.backend_leave(who);
+        if (target >= f.entries()) {
+            f.backend_leave(target);
         }
         break;
     default:
@@ -129,7 +133,7 @@
 
             f.submit(i % 2, "one", key, 1 + i % 5, 40 + i % 7 * 60, 12000);
         });
-        /* Callers give up waiting and ask another entry. */
+        /* Callers stop waiting and resubmit through another entry. */
         if (i % 2 == 0) {
             f.at((uint64_t)i * gap + 200 + i % 5 * 700, [&f, i] {
                 f.submit((i + 1) % 2, "one", "k" + std::to_string(i),
@@ -139,27 +143,27 @@
     }
 }
 
-/* What the guards' tests take out. */
-struct Without {
+/* The safeguards that are disabled. */
+struct Disabled {
     bool epoch = false;
     bool fence = false;
     bool records = false;
 };
 
-/* Run a script; returns the breaches found. */
+/* Runs a script; returns the violations found. */
 std::string
-outcome(uint64_t seed, const std::vector<Blow> &script, double loss,
-    const Without &without)
+run_script(uint64_t seed, const std::vector<Fault> &script, double loss,
+    const Disabled &disabled)
 {
     Fleet f(seed);
 
-    f.configure = [&without](node_cfg &c) {
-        c.own.no_fence = without.fence;
-        if (without.fence) {
+    f.configure = [&disabled](node_cfg &c) {
+        c.own.no_fence = disabled.fence;
+        if (disabled.fence) {
             c.own.quiet_ms = 0;
         }
-        c.host.no_epochs = without.epoch;
-        c.host.no_records = without.records;
+        c.host.no_epochs = disabled.epoch;
+        c.host.no_records = disabled.records;
     };
     if (!f.settle()) {
         return "the fleet does not settle";
@@ -171,7 +175,7 @@
     f.net.delay_rate = loss;
     load(f, 50, 100);
     for (auto &b : script) {
-        f.at(b.at, [&f, b] { strike(f, b); });
+        f.at(b.at, [&f, b] { inject(f, b); });
     }
     f.run(9000);
     f.net.loss_rate = 0;
@@ -179,7 +183,7 @@
     f.net.delay_rate = 0;
     f.run(40000);
     f.check();
-    return f.faults_text();
+    return f.violations_text();
 }
 
 int
@@ -190,8 +194,8 @@
     return v != nullptr ? atoi(v) : 60;
 }
 
-/* Draw scripts from fixed seeds; RapidCheck's own seed is fixed by the
- * Makefile, so that a verdict is the same every time. */
+/* The Makefile fixes RapidCheck's seed, so that the result is the same every
+ * time. */
 TEST(Property, PromisesHoldUnderRandomFaults)
 {
     rc::detail::TestParams params = rc::detail::configuration().testParams;
@@ -200,11 +204,12 @@
     params.maxSize = 8;
     auto result = rc::detail::checkTestable(
         [](uint64_t seed) {
-            auto script = *rc::gen::container<std::vector<Blow>>(
-                *rc::gen::inRange<size_t>(0, 5), blows());
+            auto script = *rc::gen::container<std::vector<Fault>>(
+                *rc::gen::inRange<size_t>(0, 5), random_fault());
             int loss = *rc::gen::element(0, 0, 1, 10);
 
-            RC_ASSERT(outcome(seed, script, loss / 100.0, Without()) == "");
+            RC_ASSERT(
+                run_script(seed, script, loss / 100.0, Disabled()) == "");
         },
         rc::detail::TestMetadata(), params);
     rc::detail::printResultMessage(result, std::cerr);
@@ -212,39 +217,41 @@
     EXPECT_TRUE(result.is<rc::detail::SuccessResult>());
 }
 
-/* Scripts in which each safeguard matters; without it they must fail. */
-std::vector<Blow>
+/* Pauses an agent for long enough that its partitions are taken over, and
+ * meanwhile another one.  Without fences this must fail. */
+std::vector<Fault>
 takeover_script(uint64_t seed)
 {
-    size_t who = 2 + seed % 6;
+    size_t target = 2 + seed % 6;
 
-    return {Blow{PAUSE, 1500, who, 0, 4000 + seed % 5 * 1000},
-        Blow{PAUSE, 1600, 2 + (seed + 1) % 6, 0, 3000}};
+    return {Fault{PAUSE, 1500, target, 0, 4000 + seed % 5 * 1000},
+        Fault{PAUSE, 1600, 2 + (seed + 1) % 6, 0, 3000}};
 }
 
+/* Number of seeds with which the script gives this violation. */
 size_t
-failures(const Without &without, std::vector<Blow> (*script)(uint64_t),
-    const char *breach)
+failures(const Disabled &disabled, std::vector<Fault> (*script)(uint64_t),
+    const char *violation)
 {
     size_t n = 0;
 
     for (uint64_t seed = 1; seed <= 12; seed++) {
-        std::string got = outcome(seed, script(seed), 0.05, without);
+        std::string got = run_script(seed, script(seed), 0.05, disabled);
 
-        n += got.find(breach) != std::string::npos;
+        n += got.find(violation) != std::string::npos;
     }
     return n;
 }
 
-std::vector<Blow>
+std::vector<Fault>
 no_script(uint64_t)
 {
     return {};
 }
 
-/* An owner and a host of one failure domain are cut off together, with a
- * long job under way, as the domain is taken out.  Neither hears of it.
- * Without the freshness gate the owner offers and the host starts on. */
+/* An owner and a host of one failure domain are cut off together during a long
+ * job, and the domain is withdrawn.  Neither learns of it.  Without the
+ * freshness gate the owner continues to offer and the host to start tasks. */
 std::string
 isolated_domain(uint64_t seed, bool gate)
 {
@@ -267,40 +274,40 @@
     f.cut(owner, partner, false);
     f.domain(f.procs[owner]->domain, false);
     f.run(20000);
-    return f.faults_text();
+    return f.violations_text();
 }
 
 TEST(Guard, FreshnessGate)
 {
     for (uint64_t seed = 1; seed <= 4; seed++) {
         EXPECT_EQ(isolated_domain(seed, true), "") << "seed " << seed;
-        EXPECT_NE(
-            isolated_domain(seed, false).find("taken out"), std::string::npos)
+        EXPECT_NE(isolated_domain(seed, false).find("after it was withdrawn"),
+            std::string::npos)
             << "seed " << seed;
     }
 }
 
 /* Messages are repeated and replies lost.  Without start records a host
- * takes the second copy of an offer for a new task. */
+ * treats the second copy of an offer as a new task. */
 TEST(Guard, StartRecords)
 {
-    Without records;
+    Disabled records;
 
     records.records = true;
-    EXPECT_EQ(failures(Without(), no_script, "started twice"), 0U);
+    EXPECT_EQ(failures(Disabled(), no_script, "started twice"), 0U);
     EXPECT_GT(failures(records, no_script, "started twice"), 0U);
 }
 
-/* All slots are busy, so a job waits at its owner and no host has a record
- * of it.  The owner is paused, its partitions are taken over, the caller asks
- * again and the new owner takes the job for new.  Then the old owner goes on.
- * Without epochs hosts take its offer, too. */
+/* All slots are busy, so a job waits at its owner and no host has a record of
+ * it.  The owner is paused, its partitions are taken over, the caller
+ * resubmits and the new owner admits the job as new.  Then the old owner
+ * resumes.  Without epochs hosts accept its offer, too. */
 std::string
-waiting_twin(uint64_t seed, bool epochs)
+waiting_duplicate(uint64_t seed, bool epochs)
 {
     Fleet f(seed);
     int filled = 0;
-    int twins = 0;
+    int duplicates = 0;
 
     f.configure = [epochs](node_cfg &c) { c.host.no_epochs = !epochs; };
     EXPECT_TRUE(f.settle());
@@ -317,43 +324,43 @@
         }
     }
     f.run(500);
-    for (int i = 0; twins < 10; i++) {
+    for (int i = 0; duplicates < 10; i++) {
         std::string key = "twin" + std::to_string(i);
 
         if (f.owner_of("one", key) == old_owner.n.self) {
             f.submit(0, "one", key, 1, 300, 60000);
             f.at(7000, [&f, key] { f.submit(1, "one", key, 1, 300, 60000); });
-            twins++;
+            duplicates++;
         }
     }
     f.run(200);
     f.pause(f.index_of(old_owner), 11000);
     f.run(60000);
     f.check();
-    return f.faults_text();
+    return f.violations_text();
 }
 
 TEST(Guard, Epochs)
 {
-    size_t breaches = 0;
+    size_t violations = 0;
 
     for (uint64_t seed = 1; seed <= 6; seed++) {
-        EXPECT_EQ(waiting_twin(seed, true), "") << "seed " << seed;
-        breaches += waiting_twin(seed, false).find("started twice") !=
-                    std::string::npos;
+        EXPECT_EQ(waiting_duplicate(seed, true), "") << "seed " << seed;
+        violations += waiting_duplicate(seed, false).find("started twice") !=
+                      std::string::npos;
     }
-    EXPECT_GT(breaches, 0U);
+    EXPECT_GT(violations, 0U);
 }
 
-/* An owner is paused, its partitions are taken over, callers ask again.
- * Without fences and their answers the new owner knows nothing of what the
- * old one has started, and starts it again. */
+/* An owner is paused, its partitions are taken over, callers resubmit.
+ * Without fences and their replies the new owner does not know what the old
+ * one has started, and starts it again. */
 TEST(Guard, Fences)
 {
-    Without fence;
+    Disabled fence;
 
     fence.fence = true;
-    EXPECT_EQ(failures(Without(), takeover_script, "started twice"), 0U);
+    EXPECT_EQ(failures(Disabled(), takeover_script, "started twice"), 0U);
     EXPECT_GT(failures(fence, takeover_script, "started twice"), 0U);
 }
 
--- a/test/quota-test.cc
+++ b/test/quota-test.cc
@@ -1,6 +1,6 @@
 /*
- * Lent shares: whatever is lost, late or repeated, and whoever dies, what
- * entries may spend never sums above the contract.
+ * The shares that entries hold never sum above the contract, also if messages
+ * are lost, late or repeated.
  */
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -38,27 +38,28 @@
 }
 
 uint64_t
-home_of(void *, struct str)
+lender_of(void *, struct str)
 {
     return 100;
 }
 
-/* One home and some entries, joined by a network that may misbehave. */
+/* One lender and some entries, connected by a network that may lose, repeat
+ * and delay messages. */
 struct Bench {
-    quota_lender homes;
+    quota_lender lender;
     std::vector<quota_accounts> entries;
     contract c;
     uint64_t now = 1000000;
     std::mt19937_64 random;
-    double loss = 0;
-    std::multimap<uint64_t, std::pair<uint64_t, dw_msg *>> wire;
+    double loss = 0; /* probability, also of a repeat */
+    std::multimap<uint64_t, std::pair<uint64_t, dw_msg *>> network;
 
     Bench(uint64_t seed, size_t n, const contract &limit)
         : entries(n), c(limit), random(seed)
     {
         quota_cfg cfg = config();
 
-        quota_lender_init(&homes, &cfg);
+        quota_lender_init(&lender, &cfg);
         for (auto &e : entries) {
             quota_accounts_init(&e, &cfg);
         }
@@ -66,17 +67,17 @@
 
     ~Bench()
     {
-        for (auto &w : wire) {
+        for (auto &w : network) {
             msg_free(w.second.second);
         }
-        quota_lender_free(&homes);
+        quota_lender_free(&lender);
         for (auto &e : entries) {
             quota_accounts_free(&e);
         }
     }
 
     void
-    carry(acts *as, uint64_t from)
+    send(acts *as, uint64_t from)
     {
         act *a;
 
@@ -90,7 +91,7 @@
                                     : 1 + random() % 3;
                 uint64_t peer = a->to == 100 ? from : a->to;
 
-                wire.insert({now + late, {peer, msg_clone(a->msg)}});
+                network.insert({now + late, {peer, msg_clone(a->msg)}});
             }
             act_free(a);
         }
@@ -104,12 +105,12 @@
         acts_init(&as);
         if (m->type == DW_BORROW) {
             quota_borrow(
-                &homes, now, peer, &c, true, &m->dw_msg_u.borrow, &as);
+                &lender, now, peer, &c, true, &m->dw_msg_u.borrow, &as);
         }
         else {
             quota_loan_reply(&entries[peer], now, 100, &m->dw_msg_u.lent);
         }
-        carry(&as, peer);
+        send(&as, peer);
         msg_free(m);
     }
 
@@ -117,23 +118,23 @@
     step()
     {
         now++;
-        while (!wire.empty() && wire.begin()->first <= now) {
-            auto w = wire.begin()->second;
+        while (!network.empty() && network.begin()->first <= now) {
+            auto w = network.begin()->second;
 
-            wire.erase(wire.begin());
+            network.erase(network.begin());
             deliver(w.first, w.second);
         }
         for (size_t i = 0; i < entries.size() && now % 10 == 0; i++) {
             acts as;
 
             acts_init(&as);
-            quota_accounts_tick(&entries[i], now, home_of, nullptr, &as);
-            carry(&as, i);
+            quota_accounts_tick(&entries[i], now, lender_of, nullptr, &as);
+            send(&as, i);
         }
     }
 
     quota_verdict
-    spend(size_t i, uint32_t tasks, quota_charge *s)
+    acquire(size_t i, uint32_t tasks, quota_charge *s)
     {
         uint32_t retry = 0;
         acts as;
@@ -142,14 +143,15 @@
         acts_init(&as);
         v = quota_acquire(
             &entries[i], now, STR("one"), 100, tasks, s, &retry, &as);
-        carry(&as, i);
+        send(&as, i);
         return v;
     }
 };
 
-/* A plain limiter: read the counter, decide, write it a round trip later. */
+/* A limiter without reservations: it reads the counter, decides, and writes it
+ * a round trip later.  Returns the attempts that pass. */
 size_t
-read_then_write(size_t attempts, uint32_t limit)
+passed_by_shared_counter(size_t attempts, uint32_t limit)
 {
     uint32_t counter = 0;
     std::vector<uint32_t> read(attempts);
@@ -167,15 +169,16 @@
     return passed;
 }
 
-/* Fifty attempts at the same instant against a limit of five, spread over
- * five entries: every attempt reads the counter before any writes it. */
+/* Guards against a limiter whose check races with its update: fifty attempts
+ * at the same instant, spread over five entries.  A shared counter lets them
+ * all pass, because each reads it before any writes it. */
 TEST(Lend, FiftyAtOnceAgainstALimitOfFive)
 {
     Bench b(1, 5, limits(1, 5, 100));
     size_t passed = 0;
     std::vector<int> waiting(50, 1);
 
-    EXPECT_EQ(read_then_write(50, 5), 50U);
+    EXPECT_EQ(passed_by_shared_counter(50, 5), 50U);
     for (int ms = 0; ms < 900; ms++) {
         for (size_t i = 0; i < 50; i++) {
             quota_charge s;
@@ -183,7 +186,7 @@
             if (waiting[i] == 0) {
                 continue;
             }
-            quota_verdict v = b.spend(i % 5, 1, &s);
+            quota_verdict v = b.acquire(i % 5, 1, &s);
 
             waiting[i] = v == QUOTA_WAIT;
             passed += v == QUOTA_OK;
@@ -193,7 +196,7 @@
     EXPECT_EQ(passed, 5U);
 }
 
-/* All or nothing: a job that lacks one limit takes nothing of the others. */
+/* All or nothing: a job over one limit is not charged to the others. */
 TEST(Lend, ARefusedAttemptCostsNothing)
 {
     Bench b(2, 1, limits(1, 100, 10));
@@ -201,17 +204,17 @@
     size_t ok = 0;
 
     for (int ms = 0; ms < 1000; ms++) {
-        EXPECT_NE(b.spend(0, 31, &s), QUOTA_OK); /* pending allows 30 */
+        EXPECT_NE(b.acquire(0, 31, &s), QUOTA_OK); /* pending allows 30 */
         b.step();
     }
     for (int ms = 0; ms < 400 && ok == 0; ms++) {
-        ok += b.spend(0, 30, &s) == QUOTA_OK;
+        ok += b.acquire(0, 30, &s) == QUOTA_OK;
         b.step();
     }
     EXPECT_EQ(ok, 1U);
 }
 
-/* A job answered "not run" gives its starts back. */
+/* A job answered "not run" returns its starts. */
 TEST(Lend, RefundsAreSpentAgain)
 {
     Bench b(3, 1, limits(1, 10, 1000));
@@ -220,7 +223,7 @@
     for (int ms = 0; ms < 2000; ms++) {
         quota_charge s = {};
 
-        if (b.spend(0, 10, &s) == QUOTA_OK) {
+        if (b.acquire(0, 10, &s) == QUOTA_OK) {
             quota_release(&b.entries[0], b.now, STR("one"), &s, true);
             passed++;
         }
@@ -232,12 +235,13 @@
 struct Job {
     uint64_t end;
     size_t entry;
-    quota_charge spend;
+    quota_charge charge;
 };
 
-/* Random spends over a network that loses, repeats and delays. */
+/* Random jobs over a network that loses, repeats and delays; returns the limit
+ * that was exceeded, or "". */
 std::string
-bounded(uint64_t seed, double loss, uint32_t rate, uint32_t burst,
+exceeded(uint64_t seed, double loss, uint32_t rate, uint32_t burst,
     uint32_t running)
 {
     Bench b(seed, 4, limits(rate, burst, running));
@@ -253,9 +257,9 @@
                 k++;
                 continue;
             }
-            used -= jobs[k].spend.running;
+            used -= jobs[k].charge.running;
             quota_release(&b.entries[jobs[k].entry], b.now, STR("one"),
-                &jobs[k].spend, false);
+                &jobs[k].charge, false);
             jobs[k] = jobs.back();
             jobs.pop_back();
         }
@@ -263,7 +267,7 @@
             size_t i = b.random() % 4;
             quota_charge s = {};
 
-            if (b.spend(i, 1 + b.random() % 6, &s) == QUOTA_OK) {
+            if (b.acquire(i, 1 + b.random() % 6, &s) == QUOTA_OK) {
                 started += s.starts;
                 used += s.running;
                 jobs.push_back(Job{b.now + 20 + b.random() % 200, i, s});
@@ -277,10 +281,10 @@
         }
         dw_share sum;
 
-        quota_loan_sum(&b.homes, STR("one"), &sum);
+        quota_loan_sum(&b.lender, STR("one"), &sum);
         if (sum.rate > (uint64_t)rate * 1000 || sum.burst > burst ||
             sum.running > running) {
-            return "more on loan than the contract has";
+            return "more on loan than the contract allows";
         }
         b.step();
     }
@@ -299,7 +303,7 @@
             uint32_t burst = *rc::gen::inRange<uint32_t>(6, 100);
             uint32_t running = *rc::gen::inRange<uint32_t>(3, 60);
 
-            RC_ASSERT(bounded(seed, loss, rate, burst, running) == "");
+            RC_ASSERT(exceeded(seed, loss, rate, burst, running) == "");
         },
         rc::detail::TestMetadata(), params);
     rc::detail::printResultMessage(result, std::cerr);
--- a/test/unit-test.cc
+++ b/test/unit-test.cc
@@ -1,4 +1,4 @@
-/* Tables of cases for the small modules. */
+/* Table-driven tests of the small modules. */
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -17,7 +17,7 @@
 struct ContractCase {
     const char *json;
     ct_status status;
-    const char *words; /* the message must hold them */
+    const char *words; /* that the error message must contain */
 };
 
 static const ContractCase contracts[] = {
@@ -64,8 +64,8 @@
     buf_free(&text);
 }
 
-/* The largest domain counts as withdrawn; the message does the sum. */
-TEST(Contract, KeepableWithTheLargestDomainWithdrawn)
+/* The largest domain counts as withdrawn; the message shows the figures. */
+TEST(Contract, GuaranteesFitWithTheLargestDomainWithdrawn)
 {
     const ct_domain ds[] = {{"kolding", 24}, {"aarhus", 32}, {"herning", 24}};
     err e = {""};
@@ -116,21 +116,21 @@
 /* --- settings --- */
 
 struct ConfCase {
-    const char *change; /* a line of the good file, or "" to add one */
-    const char *line;
+    const char *change; /* a line of the valid file, or "" to add one */
+    const char *line;   /* the line to put there */
     conf_status status;
     const char *words;
 };
 
-static const char good[] = "[process]\n"
-                           "role = \"agent\"\n"
-                           "name = \"a1\"\n"
-                           "domain = \"kolding\"\n"
-                           "address = \"127.0.0.1\"\n"
-                           "port = 7301\n"
-                           "http_port = 7401\n"
-                           "[store]\n"
-                           "url = \"http://127.0.0.1:7000\"\n";
+static const char valid_settings[] = "[process]\n"
+                                     "role = \"agent\"\n"
+                                     "name = \"a1\"\n"
+                                     "domain = \"kolding\"\n"
+                                     "address = \"127.0.0.1\"\n"
+                                     "port = 7301\n"
+                                     "http_port = 7401\n"
+                                     "[store]\n"
+                                     "url = \"http://127.0.0.1:7000\"\n";
 
 static const ConfCase confs[] = {
     {"", "", CONF_OK, ""},
@@ -151,10 +151,10 @@
     {"", "[jobs]\nplacement = \"best\"", CONF_BAD_VALUE, "\"round\""},
 };
 
-TEST(Conf, EachErrorNamesThePlace)
+TEST(Conf, EachErrorNamesTheLineOrKey)
 {
     for (auto &c : confs) {
-        std::string text = good;
+        std::string text = valid_settings;
         char path[] = "/tmp/dunlinweir-conf-XXXXXX";
         int fd = mkstemp(path);
         static conf got;
@@ -202,17 +202,17 @@
 }
 
 static dw_state
-state(uint64_t rev, bool whole)
+state(uint64_t rev, bool complete)
 {
     dw_state s = {};
 
     s.rev = rev;
-    s.whole = whole;
+    s.whole = complete;
     s.kvs.kvs_val = static_cast<dw_kv *>(dw_zero(8, sizeof(dw_kv)));
     return s;
 }
 
-/* An older state that comes late must not bring back what was changed. */
+/* An older state that arrives late must not undo a change. */
 TEST(View, OnlyAHigherRevisionIsAdopted)
 {
     view v;
@@ -233,8 +233,8 @@
     view_free(&v);
 }
 
-/* A peer that lags gets the changes only, deletions among them. */
-TEST(View, ChangesCarryDeletions)
+/* A peer that is out of date gets only the changes, including deletions. */
+TEST(View, ChangesIncludeDeletions)
 {
     view a;
     view b;
@@ -266,7 +266,7 @@
     view_free(&b);
 }
 
-TEST(View, MapSurvivesItsFormat)
+TEST(View, MapFormatAndParseAgree)
 {
     view v;
     view_part parts[VIEW_PARTS];
--- a/test/work-test.cc
+++ b/test/work-test.cc
@@ -33,7 +33,7 @@
     EXPECT_LT(f.answer(r).at - f.requests[r].at, 100U);
     EXPECT_EQ(f.answer(fits).state, DW_A_COMPLETE);
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 /* More work than the deadline leaves time for is refused early: the caller
@@ -63,7 +63,7 @@
     }
     EXPECT_GT(refused, 0U);
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 /* A quiet fleet, then one large job and another: neither is refused for a
@@ -88,7 +88,7 @@
         EXPECT_EQ(f.answer(i).state, DW_A_COMPLETE) << f.answer(i).reason;
     }
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 /* One worker fails everything it is given.  Being idle it would draw all
@@ -114,7 +114,7 @@
         failed += f.answer(i).state == DW_A_FAILED;
     }
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
     return failed;
 }
 
@@ -152,7 +152,7 @@
     /* A running task of 500 ms is never stopped, so one may be in front. */
     EXPECT_LT(worst, 1500U);
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 /* A domain returns: its workers are at work within seconds, and no worker
@@ -180,7 +180,7 @@
     }
     EXPECT_GT(early, 10U);
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 /* All agents are restarted one after another under load: nothing is started
@@ -211,7 +211,7 @@
     }
     EXPECT_EQ(complete, 600U);
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 /* A wave of cancels over running and waiting jobs: each is answered, and
@@ -235,7 +235,7 @@
         EXPECT_NE(f.answer(i).state, DW_A_COMPLETE);
     }
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 } // namespace
