--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -3,9 +3,12 @@
 #include <algorithm>
 #include <cstring>
 
-static const uint64_t TRANSIT_MS = 3000; /* as link.h drops */
-static const uint64_t TAKE_OUT_MS = 3000 + 500;
-static const uint64_t WALL = 1800000000000;
+/* Older messages are dropped, as by link.h. */
+static const uint64_t TRANSIT_MAX_MS = 3000;
+/* After this a withdrawn domain must start nothing: T and a margin. */
+static const uint64_t WITHDRAWAL_MS = 3000 + 500;
+/* Wall clock at simulated time 0, ms since 1970. */
+static const uint64_t WALL_START_MS = 1800000000000;
 
 static std::string
 text(const dw_bytes &b)
@@ -65,12 +68,13 @@
     p.paused = false;
     p.left_at = 0;
     p.last_rev = 0;
-    p.held.clear();
+    p.deferred.clear();
     p.running.clear();
     uint64_t id = cfg.me.id;
     at(1 + random() % 10, [this, i, id] { tick(i, id); });
     if (i >= entry_count && !p.backend_leaving) {
-        input(i, id, [&](acts *as) { node_backend(&p.n, now, true, 0, as); });
+        input(i, id,
+            [&](acts *as) { node_backend_status(&p.n, now, true, 0, as); });
     }
 }
 
@@ -134,8 +138,8 @@
 
 /* --- inputs --- */
 
-/* Run an input now, or when the process runs again; never for a process
- * that is another incarnation by then. */
+/* Passes an input to a process now, or at the end of its pause; dropped if
+ * another incarnation runs by then. */
 void
 Fleet::input(size_t i, uint64_t id, const std::function<void(acts *)> &fn)
 {
@@ -146,18 +150,18 @@
         return;
     }
     if (p.paused) {
-        p.held.push_back([this, i, id, fn] { input(i, id, fn); });
+        p.deferred.push_back([this, i, id, fn] { input(i, id, fn); });
         return;
     }
     acts_init(&as);
     fn(&as);
-    carry_out(p, &as);
+    execute(p, &as);
     if (p.n.view.rev < p.last_rev) {
-        faults.push_back(p.name + ": its revision went back");
+        violations.push_back(p.name + ": its revision decreased");
     }
     p.last_rev = p.n.view.rev;
-    if (watch) {
-        watch(p);
+    if (after_input) {
+        after_input(p);
     }
 }
 
@@ -170,11 +174,12 @@
         return;
     }
     if (!p.paused) {
-        input(i, id, [&](acts *as) { node_tick(&p.n, now, WALL + now, as); });
+        input(i, id,
+            [&](acts *as) { node_tick(&p.n, now, WALL_START_MS + now, as); });
         if (node_done(&p.n) && p.left_at == 0) {
             p.left_at = now;
             if (!p.running.empty()) {
-                faults.push_back(p.name + ": left with tasks running");
+                violations.push_back(p.name + ": left with tasks running");
             }
             crash(i);
             return;
@@ -184,7 +189,7 @@
 }
 
 void
-Fleet::carry_out(Proc &p, acts *as)
+Fleet::execute(Proc &p, acts *as)
 {
     act *a;
 
@@ -219,7 +224,7 @@
             break;
         }
         case ACT_ANSWER:
-            take_answer(a->ref, &a->msg->dw_msg_u.answer);
+            record_answer(a->ref, &a->msg->dw_msg_u.answer);
             break;
         case ACT_TXN:
             do_txn(p, a->txn, a->ref);
@@ -267,19 +272,19 @@
 
     messages++;
     messages_by_type[msg->type]++;
-    if (sniff) {
-        sniff(from, p, msg);
+    if (on_message) {
+        on_message(from, p, msg);
     }
     if (p == nullptr) {
         const struct view_member *m = view_member(&from.n.view, to);
 
-        /* Its port refuses, unless the name cannot be reached at all. */
+        /* The host refuses the connection, unless the network is cut. */
         if (m != nullptr) {
             for (size_t b = 0; b < procs.size(); b++) {
                 if (procs[b]->name == m->name && cuts.count({a, b}) == 0) {
                     at(net.delay_ms, [this, a, from_id, to] {
                         input(a, from_id, [this, a, to](acts *as) {
-                            node_refused(&procs[a]->n, now, to, as);
+                            node_connection_refused(&procs[a]->n, now, to, as);
                         });
                     });
                 }
@@ -289,18 +294,18 @@
     }
     size_t b = index_of(*p);
 
-    if (cuts.count({a, b}) > 0 || chance() < net.loss) {
+    if (cuts.count({a, b}) > 0 || chance() < net.loss_rate) {
         return;
     }
-    int copies = chance() < net.repeat ? 2 : 1;
+    int copies = chance() < net.repeat_rate ? 2 : 1;
 
     for (int i = 0; i < copies; i++) {
         uint64_t delay = net.delay_ms + random() % 2;
         std::shared_ptr<dw_msg> copy(msg_clone(msg), msg_free);
         uint64_t sent = now;
 
-        if (chance() < net.late) {
-            delay += random() % net.late_ms;
+        if (chance() < net.delay_rate) {
+            delay += random() % net.delay_max_ms;
         }
         at(delay, [this, b, to, from_id, copy, sent] {
             deliver(b, to, from_id, copy, sent);
@@ -313,7 +318,7 @@
     const std::shared_ptr<dw_msg> &owned, uint64_t sent_at)
 {
     input(to, to_id, [this, to, from, owned, sent_at](acts *as) {
-        if (now - sent_at <= TRANSIT_MS) {
+        if (now - sent_at <= TRANSIT_MAX_MS) {
             node_message(&procs[to]->n, now, from, owned.get(), as);
         }
     });
@@ -327,7 +332,7 @@
     size_t i = index_of(p);
     uint64_t id = p.n.self;
 
-    /* A process may be paused between deciding and sending. */
+    /* A process may be paused between the decision and the request. */
     at(chance() < 0.1 ? 1 : 0, [this, i, id, ref] {
         input(i, id, [this, i, id, ref](acts *as) {
             Proc &q = *procs[i];
@@ -357,26 +362,26 @@
                        std::string(key.p, key.n) + " " +
                        std::to_string(r->task.index);
     uint64_t run_ms = strtoull(text(r->task.payload).c_str(), nullptr, 10);
-    bool fails =
-        p.fails_all || text(r->task.payload).find("fail") != std::string::npos;
+    bool fails = p.fails_all_tasks ||
+                 text(r->task.payload).find("fail") != std::string::npos;
 
     starts[name].push_back(Start{now, i, p.domain});
     p.running[ref] = name;
-    if (started) {
-        started(p, name);
+    if (on_task_start) {
+        on_task_start(p, name);
     }
     p.running_max = std::max(p.running_max, p.running.size());
     if (p.running.size() > p.n.host.cfg.slots) {
-        faults.push_back(p.name + ": more tasks than slots");
+        violations.push_back(p.name + ": more tasks than slots");
     }
-    if (out_since.count(p.domain) > 0 &&
-        now > out_since[p.domain] + TAKE_OUT_MS) {
-        faults.push_back(name + " started in " + p.domain + " " +
-                         std::to_string(now - out_since[p.domain]) +
-                         " ms after it was taken out");
+    if (withdrawn_since.count(p.domain) > 0 &&
+        now > withdrawn_since[p.domain] + WITHDRAWAL_MS) {
+        violations.push_back(name + " started in " + p.domain + " " +
+                             std::to_string(now - withdrawn_since[p.domain]) +
+                             " ms after it was withdrawn");
     }
     if (p.backend_leaving && now > p.backend_left_at + 3000) {
-        faults.push_back(name + " started on a leaving backend server");
+        violations.push_back(name + " started on a leaving backend server");
     }
     at(run_ms, [this, i, id, ref, name, fails] {
         Proc &q = *procs[i];
@@ -416,9 +421,9 @@
         }
     }
     store.kvs[VIEW_LAST] = Value{".", store.rev};
-    /* Watches tell the readers. */
+    /* Watches notify the processes. */
     for (size_t i = 0; i < procs.size(); i++) {
-        if (procs[i]->up && !procs[i]->store_cut) {
+        if (procs[i]->up && !procs[i]->store_unreachable) {
             uint64_t id = procs[i]->n.self;
 
             at(net.delay_ms, [this, i, id] {
@@ -451,7 +456,7 @@
     size_t i = index_of(p);
     uint64_t id = p.n.self;
     std::shared_ptr<txn> copy = copy_txn(t);
-    uint64_t there = net.delay_ms + random() % 3 + store.slow_ms;
+    uint64_t transit_ms = net.delay_ms + random() % 3 + store.slow_ms;
     auto done = [this, i, id, ref](txn_status st, uint64_t in_ms) {
         at(in_ms, [this, i, id, ref, st] {
             input(i, id, [this, i, ref, st](acts *as) {
@@ -461,14 +466,14 @@
     };
 
     store.txns++;
-    if (store.down || p.store_cut) {
+    if (store.down || p.store_unreachable) {
         done(TXN_UNKNOWN, 50);
         return;
     }
-    at(there, [this, copy, done] {
+    at(transit_ms, [this, copy, done] {
         bool ok = !store.down && apply(copy.get());
 
-        if (store.down || chance() < store.lose) {
+        if (store.down || chance() < store.answer_loss_rate) {
             done(TXN_UNKNOWN, 1000);
         }
         else {
@@ -482,18 +487,18 @@
 {
     size_t i = index_of(p);
     uint64_t id = p.n.self;
-    uint64_t asked = now;
-    uint64_t there = net.delay_ms + store.slow_ms;
+    uint64_t requested_ms = now;
+    uint64_t transit_ms = net.delay_ms + store.slow_ms;
 
     store.reads++;
-    if (store.down || p.store_cut || store.slow_ms >= 1000) {
+    if (store.down || p.store_unreachable || store.slow_ms >= 1000) {
         at(store.slow_ms >= 1000 ? 1000 : 5, [this, i, id] {
-            input(
-                i, id, [this, i](acts *) { node_read_failed(&procs[i]->n); });
+            input(i, id,
+                [this, i](acts *) { node_store_read_failed(&procs[i]->n); });
         });
         return;
     }
-    at(there, [this, i, id, asked, what] {
+    at(transit_ms, [this, i, id, requested_ms, what] {
         std::shared_ptr<dw_msg> m(
             static_cast<dw_msg *>(dw_zero(1, sizeof(dw_msg))), msg_free);
         dw_state *st = &m->dw_msg_u.state;
@@ -514,15 +519,16 @@
         st->kvs.kvs_len = n;
         auto last = store.kvs.find(VIEW_LAST);
         st->rev = last != store.kvs.end() ? last->second.mod : 0;
-        at(net.delay_ms, [this, i, id, asked, what, m] {
-            input(i, id, [this, i, asked, what, m](acts *as) {
+        at(net.delay_ms, [this, i, id, requested_ms, what, m] {
+            input(i, id, [this, i, requested_ms, what, m](acts *as) {
                 const dw_state *got = &m->dw_msg_u.state;
 
                 if (what == ACT_READ_CHECK) {
-                    node_checked(&procs[i]->n, now, asked, got->rev, as);
+                    node_store_checked(
+                        &procs[i]->n, now, requested_ms, got->rev, as);
                 }
                 else {
-                    node_read(&procs[i]->n, now, asked, got, as);
+                    node_store_read(&procs[i]->n, now, requested_ms, got, as);
                 }
             });
         });
@@ -558,18 +564,18 @@
     uint64_t rev = store.rev;
 
     if (in) {
-        out_since.erase(name);
+        withdrawn_since.erase(name);
         return;
     }
     at(1, [this, name, rev] { await_accepted(name, rev); });
 }
 
-/* The promise counts from the instant the change is accepted. */
+/* The time limit counts from the moment the change is accepted. */
 void
 Fleet::await_accepted(const std::string &name, uint64_t rev)
 {
     if (accepted(rev)) {
-        out_since[name] = now;
+        withdrawn_since[name] = now;
         return;
     }
     at(10, [this, name, rev] { await_accepted(name, rev); });
@@ -637,7 +643,7 @@
 }
 
 void
-Fleet::take_answer(uint64_t request, const dw_answer *a)
+Fleet::record_answer(uint64_t request, const dw_answer *a)
 {
     for (auto &r : requests) {
         if (r.id != request) {
@@ -652,7 +658,7 @@
         r.answers.push_back(got);
         return;
     }
-    faults.push_back("an answer for nobody");
+    violations.push_back("an answer to an unknown request");
 }
 
 bool
@@ -719,11 +725,11 @@
         if (!q.up || q.n.self != id) {
             return;
         }
-        std::vector<std::function<void()>> held;
+        std::vector<std::function<void()>> deferred;
 
         q.paused = false;
-        held.swap(q.held);
-        for (auto &fn : held) {
+        deferred.swap(q.deferred);
+        for (auto &fn : deferred) {
             fn();
         }
     });
@@ -766,8 +772,9 @@
 
     p.backend_leaving = true;
     p.backend_left_at = now;
-    input(i, p.n.self,
-        [this, &p](acts *as) { node_backend(&p.n, now, false, 0, as); });
+    input(i, p.n.self, [this, &p](acts *as) {
+        node_backend_status(&p.n, now, false, 0, as);
+    });
 }
 
 /* --- checking --- */
@@ -782,33 +789,36 @@
         started += starts.count(name + " " + std::to_string(i));
     }
     if (r.answers.empty() && !r.entry_died) {
-        faults.push_back(name + ": never answered");
+        violations.push_back(name + ": never answered");
     }
     if (r.answers.size() > 1) {
-        faults.push_back(name + ": answered more than once");
+        violations.push_back(name + ": answered more than once");
     }
     for (auto &a : r.answers) {
         if (a.state == DW_A_NOT_RUN && started > 0) {
-            faults.push_back(name + ": not_run (" + a.reason + "), but " +
-                             std::to_string(started) + " tasks were started");
+            violations.push_back(name + ": not_run (" + a.reason + "), but " +
+                                 std::to_string(started) +
+                                 " tasks were started");
         }
         if (a.state == DW_A_COMPLETE && a.tasks.size() != r.tasks) {
-            faults.push_back(name + ": complete, but not whole");
+            violations.push_back(name + ": complete, but tasks are missing");
         }
         for (size_t i = 0; i < a.tasks.size(); i++) {
             std::string task = name + " " + std::to_string(i);
 
             if (a.state == DW_A_COMPLETE && a.bodies[i] != "ran " + task) {
-                faults.push_back(task + ": got '" + a.bodies[i] + "'");
+                violations.push_back(task + ": got '" + a.bodies[i] + "'");
             }
             if (a.state == DW_A_FAILED && !a.bodies[i].empty()) {
-                faults.push_back(task + ": a partial answer");
+                violations.push_back(task + ": a partial answer");
             }
             if (a.tasks[i] == DW_T_NOT_STARTED && starts.count(task) > 0) {
-                faults.push_back(task + ": told not started, but it was");
+                violations.push_back(
+                    task + ": reported not started, but it was");
             }
             if (a.tasks[i] == DW_T_DONE && starts.count(task) == 0) {
-                faults.push_back(task + ": told done, but never started");
+                violations.push_back(
+                    task + ": reported done, but never started");
             }
         }
     }
@@ -825,7 +835,7 @@
                 line +=
                     " " + procs[one.proc]->name + "@" + std::to_string(one.at);
             }
-            faults.push_back(line);
+            violations.push_back(line);
         }
     }
 }
@@ -842,11 +852,11 @@
 }
 
 std::string
-Fleet::faults_text() const
+Fleet::violations_text() const
 {
     std::string all;
 
-    for (auto &f : faults) {
+    for (auto &f : violations) {
         all += f + "\n";
     }
     return all;
--- a/test/work-test.cc
+++ b/test/work-test.cc
@@ -34,7 +34,7 @@
     EXPECT_LT(f.answer(r).at - f.requests[r].at, 100U);
     EXPECT_EQ(f.answer(fits).state, DW_A_COMPLETE);
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 /* Work that cannot meet its deadline must be refused early, with "not run" and
@@ -64,7 +64,7 @@
     }
     EXPECT_GT(refused, 0U);
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 /* A few small jobs, then a burst of large ones.  The drain rate of an idle
@@ -90,7 +90,7 @@
         EXPECT_EQ(f.answer(i).state, DW_A_COMPLETE) << f.answer(i).reason;
     }
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 /* A worker that fails every task is always idle and would attract all work.
@@ -105,7 +105,7 @@
         c.place.probation_permille = probation ? 500 : 100000;
     };
     set_up(f);
-    f.agent(2).fails_all = true;
+    f.agent(2).fails_all_tasks = true;
     for (int i = 0; i < 400; i++) {
         f.at((uint64_t)i * 25, [&f, i] {
             f.submit(i % 2, "one", "k" + std::to_string(i), 1, 100);
@@ -116,7 +116,7 @@
         failed += f.answer(i).state == DW_A_FAILED;
     }
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
     return failed;
 }
 
@@ -154,7 +154,7 @@
     /* Running tasks are not preempted: one of 500 ms may come first. */
     EXPECT_LT(longest_ms, 1500U);
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 /* The workers of a failure domain that returns to service must get tasks
@@ -182,7 +182,7 @@
     }
     EXPECT_GT(early_starts, 10U);
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 /* All agents restart one after another under load: no task may start twice,
@@ -213,7 +213,7 @@
     }
     EXPECT_EQ(complete, 600U);
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 /* Many running and waiting jobs are cancelled: each request must be answered,
@@ -237,7 +237,7 @@
         EXPECT_NE(f.answer(i).state, DW_A_COMPLETE);
     }
     f.check();
-    EXPECT_EQ(f.faults_text(), "");
+    EXPECT_EQ(f.violations_text(), "");
 }
 
 } // namespace
