--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 
 # Deciding modules: no I/O, no clock, no state of their own.
 DECIDE = str err act subkey contract view member sync place host job jobadmit jobmove \
-	lend own ownmap front node route sess fleet coord runner agent news guess slack inflow rank turn intake lag relay
+	lend own ownmap front node route sess fleet coord runner agent news guess slack inflow rank qpolicy intake lag relay
 # What carries their actions out.
 IO = log hist proc base64 httpc store frame link web trail back carry api ops metric serve \
 	entryd entrycall entrynews agentd platform/wire platform/kv platform/follow
--- a/conf.c
+++ b/conf.c
@@ -340,11 +340,11 @@
         return CONF_BAD_VALUE;
     }
     if (c->platform.store[0] != '\0' &&
-        c->platform.resend_ms <= CO_RUNS_OVER_MS) {
+        c->platform.resend_ms <= CO_ORPHAN_RUNS_MS) {
         err_set(e,
             "%s: key 'platform.resend_ms': want more than %u, as runs of an "
             "entry that died may go on for so long",
-            path, CO_RUNS_OVER_MS);
+            path, CO_ORPHAN_RUNS_MS);
         return CONF_BAD_VALUE;
     }
     if (n->me.rack[0] == '\0') {
--- a/coord-int.h
+++ b/coord-int.h
@@ -8,7 +8,7 @@
 
 /* The fastest workers take this part of the usual time.  A job whose tasks
  * could not end in time even there is hopeless. */
-#define CO_LEAST_PERCENT 75U
+#define CO_FASTEST_PERCENT 75U
 
 /* The job ends without its outcome: not run if nothing of it was sent. */
 void co_give_up(
@@ -16,9 +16,9 @@
 
 /* ms that its longest task takes on the fastest workers. */
 static inline uint64_t
-co_least_ms(const struct co_job *j)
+co_fastest_ms(const struct co_job *j)
 {
-    return j->longest_ms * CO_LEAST_PERCENT / 100;
+    return j->longest_task_ms * CO_FASTEST_PERCENT / 100;
 }
 
 /* Estimated millicores x ms. */
--- a/coord.c
+++ b/coord.c
@@ -6,7 +6,7 @@
 
 #include "coord-int.h"
 #include "num.h"
-#include "turn.h"
+#include "qpolicy.h"
 
 /* ms that an order may wait at the agent for cores that another entry's run
  * still holds. */
@@ -67,22 +67,22 @@
     enum co_task_state state)
 {
     if (t->state == CO_WAITING) {
-        j->waiting--;
-        j->load->waiting_work -= co_task_work(t);
+        j->waiting_count--;
+        j->load->queued_work -= co_task_work(t);
     }
-    else if (t->state == CO_OUT) {
-        j->load->out_millicores -= t->spec.millicores;
+    else if (t->state == CO_DISPATCHED) {
+        j->load->dispatched_millicores -= t->spec.millicores;
     }
     t->state = state;
-    if (state == CO_OUT) {
-        j->load->out_millicores += t->spec.millicores;
+    if (state == CO_DISPATCHED) {
+        j->load->dispatched_millicores += t->spec.millicores;
     }
     if (state == CO_WAITING) {
-        j->waiting++;
-        j->load->waiting_work += co_task_work(t);
+        j->waiting_count++;
+        j->load->queued_work += co_task_work(t);
         enqueue(c, j);
     }
-    else if (j->waiting == 0) {
+    else if (j->waiting_count == 0) {
         dequeue(c, j);
     }
 }
@@ -130,7 +130,7 @@
     memset(g, 0, sizeof(*g));
     g->job = j->id;
     g->priority = j->priority;
-    g->spec = str_to_bytes(str_make(j->spec, j->spec_n));
+    g->spec = str_to_bytes(str_make(j->spec, j->spec_len));
     return g;
 }
 
@@ -185,11 +185,11 @@
 static void
 stop_runs(struct coord *c, const struct co_job *j)
 {
-    for (uint32_t i = 0; i < j->count; i++) {
+    for (uint32_t i = 0; i < j->task_count; i++) {
         const struct co_task *t = &j->tasks[i];
         struct fl_agent *a = fl_find(&c->fleet, t->agent);
 
-        if (t->state == CO_OUT && a != NULL && a->live &&
+        if (t->state == CO_DISPATCHED && a != NULL && a->live &&
             a->sess.number == t->session) {
             add_stop(a, j->id, i, t->run);
         }
@@ -207,14 +207,14 @@
         e->id = id;
         HASH_ADD(hh, c->ended, id, sizeof(e->id), e);
     }
-    e->at_ms = now;
-    e->how = how;
+    e->ended_ms = now;
+    e->outcome = how;
 }
 
 static void
 free_job(struct coord *c, struct co_job *j)
 {
-    for (uint32_t i = 0; i < j->count; i++) {
+    for (uint32_t i = 0; i < j->task_count; i++) {
         set_state(c, j, &j->tasks[i], CO_DONE);
     }
     dequeue(c, j);
@@ -237,9 +237,9 @@
     uint32_t retry_ms;
 
     ++*counts[how];
-    retry_ms = how == CO_NOT_RUN ? tn_retry_ms(c, now, j->load) : 0;
+    retry_ms = how == CO_NOT_RUN ? qp_retry_after_ms(c, now, j->load) : 0;
     stop_runs(c, j);
-    c->ops->note(c->ctx, j, reason);
+    c->ops->log_job(c->ctx, j, reason);
     while (j->waiters != NULL) {
         struct co_waiter *w = j->waiters;
 
@@ -257,7 +257,7 @@
 void
 co_give_up(struct coord *c, uint64_t now, struct co_job *j, const char *reason)
 {
-    end_job(c, now, j, j->begun ? CO_GAVE_UP : CO_NOT_RUN, reason);
+    end_job(c, now, j, j->started ? CO_GAVE_UP : CO_NOT_RUN, reason);
 }
 
 /* --- callers --- */
@@ -286,7 +286,7 @@
 {
     uint32_t ms = 0;
 
-    for (size_t i = 0; i < s->count; i++) {
+    for (size_t i = 0; i < s->task_count; i++) {
         ms = (uint32_t)num_max(ms, s->tasks[i].est_ms);
     }
     return ms;
@@ -299,13 +299,13 @@
 {
     struct fl_sum sum = fl_sum_up(&c->fleet, now, s->service, 1);
 
-    if ((uint64_t)g->run_ms * CO_LEAST_PERCENT / 100 >= s->left_ms) {
+    if ((uint64_t)g->run_ms * CO_FASTEST_PERCENT / 100 >= s->timeout_ms) {
         return "too_late";
     }
-    if (sum.capacity <= 0 && now - c->capable_ms > HOLD_MS) {
+    if (sum.capacity <= 0 && now - c->last_capacity_ms > HOLD_MS) {
         return "no_workers";
     }
-    for (size_t i = 0; i < s->count; i++) {
+    for (size_t i = 0; i < s->task_count; i++) {
         struct fl_need need = {s->service, s->tasks[i].millicores,
             s->tasks[i].memory_mb, s->tasks[i].gpus, g->run_ms, 0, false,
             false, 0};
@@ -321,10 +321,10 @@
     return NULL;
 }
 
-static struct co_load *
+static struct co_service_load *
 load_of(struct coord *c, const char *service)
 {
-    struct co_load *l;
+    struct co_service_load *l;
 
     HASH_FIND_STR(c->loads, service, l);
     if (l == NULL) {
@@ -343,20 +343,20 @@
 
     j->id = s->id;
     j->spec = str_dup(s->spec);
-    j->spec_n = s->spec.n;
+    j->spec_len = s->spec.n;
     j->load = load_of(c, s->service);
     j->priority = s->priority;
-    j->attempts = (uint32_t)num_max(s->attempts, 1);
-    j->come_ms = now;
+    j->max_attempts = (uint32_t)num_max(s->max_attempts, 1);
+    j->arrived_ms = now;
     j->objective_ms = now + g->objective_ms;
-    j->use_ms = now + g->use_ms;
-    j->deadline_ms = now + s->left_ms;
-    j->longest_ms = g->run_ms;
-    j->count = (uint32_t)s->count;
-    j->tasks = dw_zero(s->count, sizeof(*j->tasks));
+    j->useful_until_ms = now + g->use_ms;
+    j->deadline_ms = now + s->timeout_ms;
+    j->longest_task_ms = g->run_ms;
+    j->task_count = (uint32_t)s->task_count;
+    j->tasks = dw_zero(s->task_count, sizeof(*j->tasks));
     attach(j, handle);
     HASH_ADD(hh, c->jobs, id, sizeof(j->id), j);
-    for (uint32_t i = 0; i < j->count; i++) {
+    for (uint32_t i = 0; i < j->task_count; i++) {
         j->tasks[i].spec = s->tasks[i];
         /* One time for all tasks of a job: they are much alike. */
         j->tasks[i].spec.est_ms = g->run_ms;
@@ -373,7 +373,7 @@
 {
     struct co_job *j = find_job(c, s->id);
     struct co_ended *e = NULL;
-    struct gs_seen seen = {longest(s), s->left_ms};
+    struct gs_seen seen = {longest(s), s->timeout_ms};
     struct gs_model *model;
     struct gs_guess g;
     const char *why;
@@ -387,24 +387,24 @@
     HASH_FIND(hh, c->ended, &s->id, sizeof(s->id), e);
     if (e != NULL) {
         c->stats.attached++;
-        c->ops->answer(c->ctx, handle, e->how, "ended", 0);
+        c->ops->answer(c->ctx, handle, e->outcome, "ended", 0);
         return;
     }
-    model = gs_model_of(&c->times, s->route_name);
+    model = gs_model_of(&c->run_times, s->route_name);
     g = gs_times(model, &s->route, &seen);
     why = refusal(c, now, s, &g);
     if (why != NULL) {
         c->stats.not_run++;
-        c->ops->note_refusal(c->ctx, s, &g, why, co_waiting_ms(c, now));
+        c->ops->log_refusal(c->ctx, s, &g, why, co_queued_ms(c, now));
         c->ops->answer(c->ctx, handle, CO_NOT_RUN, why,
-            tn_retry_ms(c, now, load_of(c, s->service)));
+            qp_retry_after_ms(c, now, load_of(c, s->service)));
         return;
     }
     j = admit(c, now, s, &g, handle);
-    tn_note_job(now, j, &g);
+    qp_record_job(now, j, &g);
     j->model = model;
     j->seen = seen;
-    c->admitted = true;
+    c->has_new_jobs = true;
 }
 
 static bool
@@ -425,7 +425,7 @@
 }
 
 void
-co_leave(struct coord *c, uint64_t now, const void *handle)
+co_caller_left(struct coord *c, uint64_t now, const void *handle)
 {
     struct co_job *j;
 
@@ -435,7 +435,7 @@
         }
     }
     if (j != NULL && j->waiters == NULL) {
-        c->stats.gone++;
+        c->stats.caller_left++;
         co_give_up(c, now, j, "caller_gone");
     }
 }
@@ -457,14 +457,14 @@
 static void
 run_failed(struct coord *c, uint64_t now, struct co_job *j, struct co_task *t)
 {
-    t->failed++;
-    t->avoid = t->agent;
-    if (t->failed >= j->attempts) {
+    t->failures++;
+    t->avoid_agent = t->agent;
+    if (t->failures >= j->max_attempts) {
         end_job(c, now, j, CO_FAILED, "task_failed");
         return;
     }
     c->stats.retried++;
-    c->ops->note_run(c->ctx, j, (uint32_t)(t - j->tasks), "run_failed");
+    c->ops->log_run(c->ctx, j, (uint32_t)(t - j->tasks), "run_failed");
     set_state(c, j, t, CO_WAITING);
 }
 
@@ -472,10 +472,10 @@
 run_done(struct coord *c, uint64_t now, struct co_job *j, struct co_task *t)
 {
     set_state(c, j, t, CO_DONE);
-    j->done++;
-    if (j->done == j->count) {
-        if (j->model != NULL && !j->odd) {
-            gs_learn(&c->times, j->model, &j->seen, j->took_ms);
+    j->done_count++;
+    if (j->done_count == j->task_count) {
+        if (j->model != NULL && !j->ran_slow) {
+            gs_learn(&c->run_times, j->model, &j->seen, j->longest_run_ms);
         }
         end_job(c, now, j, CO_COMPLETED, "done");
     }
@@ -487,7 +487,7 @@
 {
     (void)now;
     c->stats.lost++;
-    c->ops->note_run(c->ctx, j, (uint32_t)(t - j->tasks), "run_again");
+    c->ops->log_run(c->ctx, j, (uint32_t)(t - j->tasks), "run_again");
     set_state(c, j, t, CO_WAITING);
 }
 
@@ -503,7 +503,7 @@
 run_bounced(struct coord *c, uint64_t now, struct co_job *j, struct co_task *t)
 {
     (void)now;
-    c->stats.bounced++;
+    c->stats.rejected++;
     set_state(c, j, t, CO_WAITING);
 }
 
@@ -527,8 +527,8 @@
     uint64_t usual =
         (uint64_t)ran_ms * a->room.speed_permille / num_max(c->fleet.speed, 1);
 
-    j->odd |= fl_slow(&c->fleet, a);
-    j->took_ms = (uint32_t)num_max(j->took_ms, usual);
+    j->ran_slow |= fl_slow(&c->fleet, a);
+    j->longest_run_ms = (uint32_t)num_max(j->longest_run_ms, usual);
 }
 
 static void
@@ -539,11 +539,12 @@
     struct co_task *t;
 
     fl_note_end(a, now, end->how);
-    if (j == NULL || end->ref.index >= j->count) {
+    if (j == NULL || end->ref.index >= j->task_count) {
         return;
     }
     t = &j->tasks[end->ref.index];
-    if (t->state == CO_OUT && t->run == end->ref.run && t->agent == a->id) {
+    if (t->state == CO_DISPATCHED && t->run == end->ref.run &&
+        t->agent == a->id) {
         if (end->how == DW_END_DONE) {
             note_time(c, a, j, end->ran_ms);
         }
@@ -560,12 +561,12 @@
     struct co_job *j;
 
     for (j = c->jobs; j != NULL; j = j->hh.next) {
-        for (uint32_t i = 0; i < j->count; i++) {
+        for (uint32_t i = 0; i < j->task_count; i++) {
             struct co_task *t = &j->tasks[i];
 
-            if (t->state == CO_OUT && t->agent == a->id) {
+            if (t->state == CO_DISPATCHED && t->agent == a->id) {
                 set_state(c, j, t, CO_LOST);
-                t->again_ms = again_ms;
+                t->retry_at_ms = again_ms;
             }
         }
     }
@@ -578,12 +579,12 @@
     struct co_job *j;
 
     for (j = c->jobs; j != NULL; j = j->hh.next) {
-        for (uint32_t i = 0; i < j->count; i++) {
+        for (uint32_t i = 0; i < j->task_count; i++) {
             struct co_task *t = &j->tasks[i];
 
             if (t->state == CO_LOST && t->agent == a->id &&
-                t->again_ms > now) {
-                t->again_ms = now;
+                t->retry_at_ms > now) {
+                t->retry_at_ms = now;
             }
         }
     }
@@ -596,20 +597,20 @@
 {
     uint64_t over = sess_over_at(&a->sess) + RN_STOP_MS + RN_LAPSE_MS;
 
-    c->ops->note_agent(c->ctx, a, "agent_silent");
+    c->ops->log_agent(c->ctx, a, "agent_silent");
     lose_runs(c, a, num_max(over, now));
     fl_close(a);
 }
 
 void
-co_refused(struct coord *c, uint64_t now, uint64_t id)
+co_agent_dead(struct coord *c, uint64_t now, uint64_t id)
 {
     struct fl_agent *a = fl_find(&c->fleet, id);
 
     if (a == NULL || !a->live) {
         return;
     }
-    c->ops->note_agent(c->ctx, a, "agent_dead");
+    c->ops->log_agent(c->ctx, a, "agent_dead");
     lose_runs(c, a, now + RN_LAPSE_MS);
     fl_close(a);
 }
@@ -629,7 +630,7 @@
     }
     if (!a->live) {
         a->live = true;
-        c->ops->note_agent(c->ctx, a, "agent_live");
+        c->ops->log_agent(c->ctx, a, "agent_live");
     }
     fl_room(a, r->head.ack, &r->room);
     if (r->clean) {
@@ -646,8 +647,8 @@
 need_of(const struct co_job *j, const struct co_task *t)
 {
     struct fl_need need = {j->load->service, t->spec.millicores,
-        t->spec.memory_mb, t->spec.gpus, t->spec.est_ms, 0, t->failed > 0,
-        false, t->avoid};
+        t->spec.memory_mb, t->spec.gpus, t->spec.est_ms, 0, t->failures > 0,
+        false, t->avoid_agent};
 
     return need;
 }
@@ -660,7 +661,7 @@
     struct fl_need need = need_of(j, t);
     struct fl_agent *a;
 
-    need.waited_ms = (uint32_t)(now - j->come_ms);
+    need.waited_ms = (uint32_t)(now - j->arrived_ms);
     a = fl_pick(&c->fleet, now, &need);
 
     if (a == NULL) {
@@ -671,18 +672,18 @@
     t->session = a->sess.number;
     t->sent_ms = now;
     t->moving = false;
-    j->begun = true;
+    j->started = true;
     c->stats.runs++;
     add_run(a, j, index);
     fl_reserve(a, now, &need);
-    set_state(c, j, t, CO_OUT);
+    set_state(c, j, t, CO_DISPATCHED);
     return true;
 }
 
 static bool
 place_job(struct coord *c, uint64_t now, struct co_job *j)
 {
-    for (uint32_t i = 0; i < j->count; i++) {
+    for (uint32_t i = 0; i < j->task_count; i++) {
         if (j->tasks[i].state == CO_WAITING && !place_task(c, now, j, i)) {
             return false;
         }
@@ -693,18 +694,18 @@
 static void
 place_all(struct coord *c, uint64_t now)
 {
-    struct tn_room room = {0};
+    struct qp_capacity room = {0};
     struct co_job *j;
     struct co_job *tmp;
     uint32_t misses = 0;
 
-    for (int turn = 0; turn < TURN_COUNT; turn++) {
+    for (int turn = 0; turn < QP_COUNT; turn++) {
         DL_FOREACH_SAFE (c->queue, j, tmp) {
-            if (tn_of(j, now) != (enum turn)turn) {
+            if (qp_class_of(j, now) != (enum qp_class)turn) {
                 continue;
             }
-            tn_look(&room, c, now, j);
-            if (tn_leaves_room(&room, now, j)) {
+            qp_update_capacity(&room, c, now, j);
+            if (qp_must_hold_back(&room, now, j)) {
                 continue;
             }
             if (!place_job(c, now, j) && ++misses >= MISSES_MAX) {
@@ -722,9 +723,9 @@
     const char *service = NULL;
     dw_want w = {0, 0, 0, 0};
 
-    if (c->admitted) {
-        c->admitted = false;
-        tn_shed(c, now);
+    if (c->has_new_jobs) {
+        c->has_new_jobs = false;
+        qp_shed(c, now);
     }
     if (c->queue != NULL) {
         place_all(c, now);
@@ -735,9 +736,9 @@
         /* Agents of one service mostly stand together. */
         if (service == NULL || strcmp(service, a->service) != 0) {
             service = a->service;
-            w = tn_want(c, now, service);
+            w = qp_demand(c, now, service);
         }
-        tell = tn_must_tell(a, now, &w);
+        tell = qp_must_report_demand(a, now, &w);
         if (tell || a->batch != NULL) {
             a->want = w;
             a->want_ms = now;
@@ -778,25 +779,25 @@
 static void
 move_runs(struct coord *c, uint64_t now, struct co_job *j)
 {
-    for (uint32_t i = 0; i < j->count; i++) {
+    for (uint32_t i = 0; i < j->task_count; i++) {
         struct co_task *t = &j->tasks[i];
         struct fl_agent *a = fl_find(&c->fleet, t->agent);
         struct fl_need need = need_of(j, t);
 
         need.quick = true;
         need.avoid = t->agent;
-        if (t->state != CO_OUT || t->moving || a == NULL ||
+        if (t->state != CO_DISPATCHED || t->moving || a == NULL ||
             a->sess.number != t->session || !fl_slow(&c->fleet, a) ||
             !better_elsewhere(t, a, c->fleet.speed, now) ||
-            c->move_room < (int64_t)need.millicores ||
+            c->move_budget < (int64_t)need.millicores ||
             fl_pick(&c->fleet, now, &need) == NULL) {
             continue;
         }
         t->moving = true;
-        t->avoid = t->agent;
-        c->move_room -= need.millicores;
+        t->avoid_agent = t->agent;
+        c->move_budget -= need.millicores;
         c->stats.moved++;
-        c->ops->note_run(c->ctx, j, i, "run_moved");
+        c->ops->log_run(c->ctx, j, i, "run_moved");
         add_stop(a, j->id, i, t->run);
     }
 }
@@ -817,7 +818,7 @@
     }
     if (!a->chosen && (!a->live || fl_idle(a))) {
         if (a->live) {
-            c->ops->note_agent(c->ctx, a, "agent_left_out");
+            c->ops->log_agent(c->ctx, a, "agent_left_out");
         }
         if (a->sess.number != 0) {
             fl_leave_out(a, now);
@@ -846,14 +847,14 @@
         co_give_up(c, now, j, "deadline");
         return false;
     }
-    if (!j->begun && now + co_least_ms(j) >= j->deadline_ms) {
+    if (!j->started && now + co_fastest_ms(j) >= j->deadline_ms) {
         co_give_up(c, now, j, "too_late");
         return false;
     }
-    for (uint32_t i = 0; i < j->count; i++) {
+    for (uint32_t i = 0; i < j->task_count; i++) {
         struct co_task *t = &j->tasks[i];
 
-        if (t->state == CO_LOST && now >= t->again_ms) {
+        if (t->state == CO_LOST && now >= t->retry_at_ms) {
             run_lost(c, now, j, t);
         }
     }
@@ -867,7 +868,7 @@
     struct co_ended *tmp;
 
     HASH_ITER (hh, c->ended, e, tmp) {
-        if (now - e->at_ms < ENDED_MS) {
+        if (now - e->ended_ms < ENDED_MS) {
             break; /* in the order of their ends */
         }
         HASH_DEL(c->ended, e);
@@ -882,21 +883,22 @@
      * After a freeze the callers have sent their jobs elsewhere, where they
      * run by now.  Starting lost runs again would make two at a time.
      */
-    bool paused = c->ticked_ms != 0 && now - c->ticked_ms > CO_PAUSE_MS;
+    bool paused =
+        c->last_tick_ms != 0 && now - c->last_tick_ms > CO_MAX_PAUSE_MS;
     struct fl_agent *a;
     struct fl_agent *a_tmp;
     struct co_job *j;
     struct co_job *j_tmp;
     struct fl_sum sum;
 
-    c->ticked_ms = now;
+    c->last_tick_ms = now;
     fl_choose(&c->fleet, now);
     fl_learn(&c->fleet, now);
     /* Other entries see the same room. */
     sum = fl_sum_up(&c->fleet, now, NULL, 1);
-    c->move_room = sum.free / MOVE_SHARE;
-    if (c->capable_ms == 0 || sum.capacity > 0) {
-        c->capable_ms = now;
+    c->move_budget = sum.free / MOVE_SHARE;
+    if (c->last_capacity_ms == 0 || sum.capacity > 0) {
+        c->last_capacity_ms = now;
     }
     HASH_ITER (hh, c->fleet.agents, a, a_tmp) {
         tend_session(c, now, a);
@@ -905,7 +907,7 @@
             fl_remove(&c->fleet, a);
         }
     }
-    tn_shed(c, now);
+    qp_shed(c, now);
     HASH_ITER (hh, c->jobs, j, j_tmp) {
         if (paused) {
             co_give_up(c, now, j, "paused");
@@ -926,8 +928,8 @@
     struct co_job *j_tmp;
     struct co_ended *e;
     struct co_ended *e_tmp;
-    struct co_load *l;
-    struct co_load *l_tmp;
+    struct co_service_load *l;
+    struct co_service_load *l_tmp;
 
     HASH_ITER (hh, c->jobs, j, j_tmp) {
         while (j->waiters != NULL) {
@@ -947,43 +949,43 @@
         free(l->service);
         free(l);
     }
-    gs_free(&c->times);
+    gs_free(&c->run_times);
     fl_free(&c->fleet);
 }
 
 bool
-co_known(const struct coord *c, uint64_t id)
+co_has_job(const struct coord *c, uint64_t id)
 {
     return find_job(c, id) != NULL;
 }
 
 size_t
-co_running(const struct coord *c)
+co_job_count(const struct coord *c)
 {
     return HASH_COUNT(c->jobs);
 }
 
 uint64_t
-co_waiting_ms(const struct coord *c, uint64_t now)
+co_queued_ms(const struct coord *c, uint64_t now)
 {
     struct fl_sum sum = fl_sum_up(&c->fleet, now, NULL, 1);
-    const struct co_load *l;
+    const struct co_service_load *l;
     uint64_t work = 0;
 
     for (l = c->loads; l != NULL; l = l->hh.next) {
-        work += l->waiting_work;
+        work += l->queued_work;
     }
     return sum.capacity > 0 ? work / (uint64_t)sum.capacity : 0;
 }
 
 size_t
-co_pending(const struct coord *c)
+co_unstarted_count(const struct coord *c)
 {
     const struct co_job *j;
     size_t n = 0;
 
     for (j = c->queue; j != NULL; j = j->next) {
-        n += !j->begun;
+        n += !j->started;
     }
     return n;
 }
--- a/entrycall.c
+++ b/entrycall.c
@@ -36,14 +36,14 @@
     uint64_t now = proc_now();
     bool done = strcmp(why, "done") == 0;
 
-    hist_add(&e->answer_ms, now - j->come_ms);
+    hist_add(&e->answer_ms, now - j->arrived_ms);
     log_event(done ? LOG_LEVEL_INFO : LOG_LEVEL_WARN,
         done ? "job_done" : "job_ended",
         "job=%016" PRIx64 " why=%s tasks=%u done=%u begun=%d ms=%" PRIu64
         " objective_ms=%" PRIu64 " left_ms=%" PRIu64 " speed=%u",
-        j->id, why, j->count, j->done, j->begun, now - j->come_ms,
-        j->objective_ms - j->come_ms, num_minus(j->deadline_ms, now),
-        e->coord.fleet.speed);
+        j->id, why, j->task_count, j->done_count, j->started,
+        now - j->arrived_ms, j->objective_ms - j->arrived_ms,
+        num_minus(j->deadline_ms, now), e->coord.fleet.speed);
 }
 
 static void
@@ -52,13 +52,13 @@
 {
     struct entry *e = ctx;
     struct fl_sum sum = fl_sum_up(&e->coord.fleet, proc_now(), s->service,
-        s->count > 0 ? s->tasks[0].millicores : 1);
+        s->task_count > 0 ? s->tasks[0].millicores : 1);
 
     log_event(LOG_LEVEL_WARN, "job_refused",
         "job=%016" PRIx64 " why=%s tasks=%zu run_ms=%u left_ms=%u"
         " use_ms=%u waiting_ms=%" PRIu64 " capacity=%" PRId64 " free=%" PRId64,
-        s->id, why, s->count, g->run_ms, s->left_ms, g->use_ms, waiting_ms,
-        sum.capacity, sum.free);
+        s->id, why, s->task_count, g->run_ms, s->timeout_ms, g->use_ms,
+        waiting_ms, sum.capacity, sum.free);
 }
 
 static void
@@ -71,7 +71,7 @@
     log_event(LOG_LEVEL_WARN, what,
         "job=%016" PRIx64 " task=%u run=%" PRIu64
         " agent=%s failed=%u ms=%" PRIu64 " pace=%u room_age_ms=%" PRIu64,
-        j->id, index, t->run, a != NULL ? a->name : "gone", t->failed,
+        j->id, index, t->run, a != NULL ? a->name : "gone", t->failures,
         proc_now() - t->sent_ms, a != NULL ? a->room.pace_permille : 0,
         a != NULL ? proc_now() - a->sess.heard_ms : 0);
 }
@@ -221,12 +221,12 @@
     s.spec = job.spec;
     s.service = route->service;
     s.priority = route->priority;
-    s.attempts = route->attempts;
+    s.max_attempts = route->attempts;
     s.route_name = route->name;
     s.route = (struct gs_route){route->stretch_milli, route->slo_ms};
-    s.left_ms = c->req != NULL ? left_ms(c->req) : c->taken->left_ms;
+    s.timeout_ms = c->req != NULL ? left_ms(c->req) : c->taken->left_ms;
     s.tasks = job.tasks;
-    s.count = job.count;
+    s.task_count = job.count;
     co_submit(&e->coord, now, &s, c);
     wire_job_free(&job);
 }
@@ -236,7 +236,7 @@
 {
     struct buf b = {0};
 
-    buf_addf(&b, "{\"pending\":%zu}", co_pending(&e->coord));
+    buf_addf(&b, "{\"pending\":%zu}", co_unstarted_count(&e->coord));
     web_reply(r, 200, "application/json", buf_str(&b), 0);
     buf_free(&b);
 }
@@ -290,7 +290,8 @@
 
     log_event(LOG_LEVEL_WARN, "request_refused",
         "job=%.*s why=%s waiting=%zu wait_us=%.0f busy=%.2f", (int)job.n,
-        job.p, why, it_count(&e->intake), it_wait_us(&e->intake), e->lag.busy);
+        job.p, why, it_count(&e->intake), it_expected_wait_us(&e->intake),
+        e->lag.utilization);
 }
 
 static void
@@ -337,7 +338,7 @@
 static void
 tell_state(struct entry *e, struct web_req *r, uint64_t id)
 {
-    if (co_known(&e->coord, id) ||
+    if (co_has_job(&e->coord, id) ||
         rl_find(&e->relay, str_of(web_path(r))) != NULL) {
         ec_reply(r, 200, "{\"state\":\"running\"}");
     }
@@ -422,8 +423,8 @@
 {
     struct entry *e = ctx;
 
-    if (!it_drop(&e->intake, t->data)) {
-        co_leave(&e->coord, proc_now(), t->data);
+    if (!it_remove(&e->intake, t->data)) {
+        co_caller_left(&e->coord, proc_now(), t->data);
     }
     free(t->data);
 }
@@ -506,7 +507,7 @@
     web_set_ctx(r, c);
     /* It is read at the end of a pass: the next begins it or sends it on. */
     want_pass(e);
-    if (lg_gives(&e->lag) && give_away(e, now, c)) {
+    if (lg_should_forward(&e->lag) && give_away(e, now, c)) {
         return;
     }
     if (!it_add(&e->intake, proc_now_us(), c) && !give_away(e, now, c)) {
@@ -519,11 +520,11 @@
 void
 ec_begin(struct entry *e, uint64_t now)
 {
-    enum it_turn turn;
+    enum it_action turn;
     void *c;
 
     while (e->routes.version == 0) {
-        c = it_late(&e->intake, proc_now_us());
+        c = it_pop_expired(&e->intake, proc_now_us());
         if (c == NULL) {
             return;
         }
@@ -566,8 +567,8 @@
     if (c == NULL) {
         return;
     }
-    if (!it_drop(&e->intake, c) && !rl_drop(&e->relay, c)) {
-        co_leave(&e->coord, proc_now(), c);
+    if (!it_remove(&e->intake, c) && !rl_drop(&e->relay, c)) {
+        co_caller_left(&e->coord, proc_now(), c);
     }
     free(c);
 }
--- a/entryd.c
+++ b/entryd.c
@@ -15,7 +15,7 @@
 #define ACCEPT_MS 2600U
 /* ms a request may have waited unread while the machine stood still, after
  * which its caller has tried elsewhere. */
-#define STALE_MS CO_PAUSE_MS
+#define STALE_MS CO_MAX_PAUSE_MS
 #define STALE_WINDOW_MS 40U
 /* Runs of the web server in which that is read, however long they take. */
 #define STALE_RUNS 4U
@@ -26,7 +26,8 @@
 static bool
 is_ready(const struct entry *e)
 {
-    return !e->s->leaving && e->routes.version != 0 && !lg_is_out(&e->lag) &&
+    return !e->s->leaving && e->routes.version != 0 &&
+           !lg_is_out_of_rotation(&e->lag) &&
            fl_sum_up(&e->coord.fleet, proc_now(), NULL, 1).capacity > 0;
 }
 
@@ -40,7 +41,8 @@
     struct entry *e = ctx;
 
     /* Callers that connect anew sooner would come back here. */
-    if (lg_is_out(&e->lag) && ++e->missed_looks == LOOKS_TO_LEAVE) {
+    if (lg_is_out_of_rotation(&e->lag) &&
+        ++e->missed_looks == LOOKS_TO_LEAVE) {
         web_send_elsewhere(e->callers, true);
     }
     ec_reply(r, is_ready(e) ? 200 : 503, "{}");
@@ -76,7 +78,7 @@
 
     (void)loop;
     (void)revents;
-    lg_pass_begins(&e->lag, proc_now_us());
+    lg_pass_start(&e->lag, proc_now_us());
 }
 
 static int
@@ -141,7 +143,7 @@
 note_load(struct entry *e, uint64_t now)
 {
     const struct coord *c = &e->coord;
-    size_t jobs = co_running(c);
+    size_t jobs = co_job_count(c);
 
     if (now - e->load_line_ms < LOAD_LINE_MS) {
         return;
@@ -153,7 +155,7 @@
         log_event(LOG_LEVEL_INFO, "load",
             "jobs=%zu pending=%zu waiting_ms=%" PRIu64 " capacity=%" PRId64
             " free=%" PRId64,
-            jobs, co_pending(c), co_waiting_ms(c, now), sum.capacity,
+            jobs, co_unstarted_count(c), co_queued_ms(c, now), sum.capacity,
             sum.free);
     }
 }
@@ -161,7 +163,7 @@
 static void
 note_rotation(struct entry *e)
 {
-    bool out = lg_is_out(&e->lag);
+    bool out = lg_is_out_of_rotation(&e->lag);
 
     if (out == e->was_out) {
         return;
@@ -171,18 +173,18 @@
     web_send_elsewhere(e->callers, false);
     log_event(out ? LOG_LEVEL_WARN : LOG_LEVEL_INFO,
         out ? "behind" : "caught_up",
-        "busy=%.2f item_us=%.1f usual_us=%.1f waiting=%zu", e->lag.busy,
-        e->lag.probe_us, e->lag.usual_us, it_count(&e->intake));
+        "busy=%.2f item_us=%.1f usual_us=%.1f waiting=%zu", e->lag.utilization,
+        e->lag.recent_us, e->lag.baseline_us, it_count(&e->intake));
 }
 
 static void
 tend_relay(struct entry *e, uint64_t now)
 {
-    struct rl_state state = {is_ready(e) && lg_has_time(&e->lag),
-        (uint32_t)(e->lag.busy * 1000), e->routes.version};
+    struct rl_state state = {is_ready(e) && lg_has_spare_time(&e->lag),
+        (uint32_t)(e->lag.utilization * 1000), e->routes.version};
 
     rl_tell(&e->relay, &state);
-    if (!lg_has_time(&e->lag)) {
+    if (!lg_has_spare_time(&e->lag)) {
         rl_need(&e->relay, now);
     }
     rl_tick(&e->relay, now);
@@ -197,8 +199,8 @@
     tend_relay(e, now);
     began_us = proc_now_us();
     co_tick(&e->coord, now);
-    lg_probe(&e->lag, proc_now_us(), proc_now_us() - began_us,
-        FL_CHOSEN_MAX + co_running(&e->coord));
+    lg_record_probe(&e->lag, proc_now_us(), proc_now_us() - began_us,
+        FL_CHOSEN_MAX + co_job_count(&e->coord));
     en_keep_times(e, now);
     note_load(e, now);
     if (nw_must_ask(&e->news, now)) {
@@ -216,15 +218,15 @@
     struct entry *e = s->state;
 
     /* A request that comes while there is time is begun in this pass. */
-    if (lg_has_time(&e->lag)) {
+    if (lg_has_spare_time(&e->lag)) {
         ec_run(e);
     }
     ec_begin(e, now);
-    e->coord.room_pause_ms = lg_pause_ms(&e->lag);
+    e->coord.report_interval_ms = lg_report_interval_ms(&e->lag);
     co_flush(&e->coord, now);
     rl_flush(&e->relay, now);
     ec_run(e);
-    lg_pass_ends(&e->lag, proc_now_us());
+    lg_pass_end(&e->lag, proc_now_us());
     note_rotation(e);
 }
 
@@ -252,7 +254,7 @@
 {
     struct entry *e = s->state;
 
-    co_refused(&e->coord, now, id);
+    co_agent_dead(&e->coord, now, id);
     rl_refused(&e->relay, now, id);
 }
 
@@ -271,7 +273,7 @@
     struct entry *e = s->state;
 
     (void)now;
-    return !e->accepting && co_running(&e->coord) == 0 &&
+    return !e->accepting && co_job_count(&e->coord) == 0 &&
            it_count(&e->intake) == 0 && rl_done(&e->relay) &&
            web_open_requests(e->callers) == 0;
 }
@@ -299,11 +301,11 @@
         {"dw_jobs_failed", st->failed},
         {"dw_jobs_gave_up", st->gave_up},
         {"dw_jobs_not_run", st->not_run},
-        {"dw_jobs_caller_gone", st->gone},
-        {"dw_jobs_running", co_running(&e->coord)},
+        {"dw_jobs_caller_gone", st->caller_left},
+        {"dw_jobs_running", co_job_count(&e->coord)},
         {"dw_runs_sent", st->runs},
         {"dw_runs_lost", st->lost},
-        {"dw_runs_bounced", st->bounced},
+        {"dw_runs_bounced", st->rejected},
         {"dw_runs_retried", st->retried},
         {"dw_runs_moved", st->moved},
         {"dw_choice_widened", st->widened},
@@ -312,8 +314,8 @@
         {"dw_requests_turned_away", e->turned_away},
         {"dw_requests_given", e->given},
         {"dw_requests_taken", e->taken},
-        {"dw_busy_permille", (uint64_t)(e->lag.busy * 1000)},
-        {"dw_behind", lg_is_out(&e->lag)},
+        {"dw_busy_permille", (uint64_t)(e->lag.utilization * 1000)},
+        {"dw_behind", lg_is_out_of_rotation(&e->lag)},
     };
 
     sv_add_rows(b, rows, sizeof(rows) / sizeof(rows[0]));
--- a/entrynews.c
+++ b/entrynews.c
@@ -159,10 +159,10 @@
 find_rank(struct entry *e)
 {
     const struct view_member *me = &e->s->conf->node.me;
-    struct rk_place place =
-        rk_find(&e->ranks, proc_now(), me->name, me->domain);
+    struct rk_rank place =
+        rk_rank_of(&e->ranks, proc_now(), me->name, me->domain);
 
-    fl_set_rank(&e->coord.fleet, place.near, place.all);
+    fl_set_rank(&e->coord.fleet, place.local, place.total);
 }
 
 static void
@@ -175,7 +175,7 @@
     *p = *told;
     p->hh = hh;
     if (!p->is_agent) {
-        rk_in(&e->ranks, p->name, p->domain);
+        rk_mark_present(&e->ranks, p->name, p->domain);
         find_rank(e);
         rl_entry_in(&e->relay, p->id);
         return;
@@ -210,7 +210,7 @@
         return;
     }
     buf_addf(&key, TIMES_PREFIX "%s", e->s->conf->node.me.name);
-    gs_save(&e->coord.times, &value);
+    gs_save(&e->coord.run_times, &value);
     if (value.n > 0) {
         kv_put(e->s->kv, key.p, buf_str(&value), a->lease, on_times_kept, e);
     }
@@ -221,7 +221,7 @@
 void
 en_keep_times(struct entry *e, uint64_t now)
 {
-    if (gs_keep_due(&e->coord.times, now)) {
+    if (gs_keep_due(&e->coord.run_times, now)) {
         kv_lease(e->s->kv, GS_KEEP_MS, on_times_lease, e);
     }
 }
@@ -229,7 +229,7 @@
 static void
 times_change(struct entry *e, const struct kv_item *it)
 {
-    if (!it->deleted && !gs_load(&e->coord.times, it->value)) {
+    if (!it->deleted && !gs_load(&e->coord.run_times, it->value)) {
         log_event(LOG_LEVEL_WARN, "times_unreadable", "key=%s", it->key);
     }
 }
@@ -256,7 +256,7 @@
             a->member = false;
         }
     }
-    rk_out(&e->ranks, proc_now(), name);
+    rk_mark_absent(&e->ranks, proc_now(), name);
 }
 
 static void
@@ -294,7 +294,7 @@
     for (a = e->coord.fleet.agents; a != NULL; a = a->hh.next) {
         a->member = false;
     }
-    rk_out(&e->ranks, proc_now(), NULL);
+    rk_mark_absent(&e->ranks, proc_now(), NULL);
     for (size_t i = 0; i < n; i++) {
         members_change(e, &items[i]);
     }
--- a/inflow.c
+++ b/inflow.c
@@ -21,24 +21,24 @@
 static double
 kept(const struct in_flow *f, uint64_t now)
 {
-    return exp2(-(double)(now - f->at_ms) / IN_HALF_MS);
+    return exp2(-(double)(now - f->decayed_ms) / IN_HALF_LIFE_MS);
 }
 
 void
-in_note(struct in_flow *f, uint64_t now, uint32_t objective_ms, double work)
+in_record(struct in_flow *f, uint64_t now, uint32_t objective_ms, double work)
 {
     double k = kept(f, now);
 
     for (uint32_t b = 0; b < IN_BUCKETS; b++) {
         f->rate[b] *= k;
     }
-    f->at_ms = now;
+    f->decayed_ms = now;
     /* A sum that halves in that time is so many times the rate. */
-    f->rate[bucket_of(objective_ms)] += work * log(2) / IN_HALF_MS;
+    f->rate[bucket_of(objective_ms)] += work * log(2) / IN_HALF_LIFE_MS;
 }
 
 double
-in_before(
+in_work_before(
     const struct in_flow *f, uint64_t now, double objective_ms, double span_ms)
 {
     double sum = 0;
--- a/intake.c
+++ b/intake.c
@@ -18,7 +18,7 @@
 static void
 remove_request(struct intake *t, struct it_request *r)
 {
-    DL_DELETE(t->first, r);
+    DL_DELETE(t->head, r);
     t->count--;
     free(r);
 }
@@ -26,8 +26,8 @@
 void
 it_free(struct intake *t)
 {
-    while (t->first != NULL) {
-        remove_request(t, t->first);
+    while (t->head != NULL) {
+        remove_request(t, t->head);
     }
 }
 
@@ -38,11 +38,11 @@
 }
 
 double
-it_wait_us(const struct intake *t)
+it_expected_wait_us(const struct intake *t)
 {
-    double work = (double)t->count * t->begin_us;
+    double work = (double)t->count * t->start_cost_us;
 
-    return work + work / IT_PASS_US * t->rest_us;
+    return work + work / IT_PASS_BUDGET_US * t->other_cost_us;
 }
 
 bool
@@ -50,23 +50,23 @@
 {
     struct it_request *r;
 
-    if (it_wait_us(t) > IT_WAIT_US) {
+    if (it_expected_wait_us(t) > IT_MAX_WAIT_US) {
         return false;
     }
     r = dw_zero(1, sizeof(*r));
     r->handle = handle;
     r->come_us = now_us;
-    DL_APPEND(t->first, r);
+    DL_APPEND(t->head, r);
     t->count++;
     return true;
 }
 
 bool
-it_drop(struct intake *t, const void *handle)
+it_remove(struct intake *t, const void *handle)
 {
     struct it_request *r;
 
-    DL_FOREACH (t->first, r) {
+    DL_FOREACH (t->head, r) {
         if (r->handle == handle) {
             remove_request(t, r);
             return true;
@@ -76,12 +76,12 @@
 }
 
 void *
-it_late(struct intake *t, uint64_t now_us)
+it_pop_expired(struct intake *t, uint64_t now_us)
 {
-    struct it_request *r = t->first;
+    struct it_request *r = t->head;
     void *handle = NULL;
 
-    if (r != NULL && now_us - r->come_us > IT_WAIT_US) {
+    if (r != NULL && now_us - r->come_us > IT_MAX_WAIT_US) {
         handle = r->handle;
         remove_request(t, r);
     }
@@ -89,45 +89,45 @@
 }
 
 /* The pass has begun all that it will. */
-static enum it_turn
+static enum it_action
 end_pass(struct intake *t, uint64_t now_us)
 {
-    t->pass_us = 0;
-    t->taken_us = 0;
-    t->rest_from_us = now_us;
+    t->pass_start_us = 0;
+    t->dequeued_us = 0;
+    t->pass_end_us = now_us;
     return IT_NONE;
 }
 
-enum it_turn
+enum it_action
 it_next(struct intake *t, uint64_t now_us, void **handle)
 {
-    struct it_request *r = t->first;
+    struct it_request *r = t->head;
 
-    if (t->taken_us != 0) {
-        learn(&t->begin_us, now_us - t->taken_us);
+    if (t->dequeued_us != 0) {
+        learn(&t->start_cost_us, now_us - t->dequeued_us);
     }
     if (r == NULL) {
         return end_pass(t, now_us);
     }
-    if (t->pass_us == 0) {
-        t->pass_us = now_us;
+    if (t->pass_start_us == 0) {
+        t->pass_start_us = now_us;
         /* It has waited since the pass before, so there was no idle time. */
-        if (t->rest_from_us != 0 && r->come_us < t->rest_from_us) {
-            learn(&t->rest_us, now_us - t->rest_from_us);
+        if (t->pass_end_us != 0 && r->come_us < t->pass_end_us) {
+            learn(&t->other_cost_us, now_us - t->pass_end_us);
         }
     }
-    else if (now_us - t->pass_us >= IT_PASS_US) {
+    else if (now_us - t->pass_start_us >= IT_PASS_BUDGET_US) {
         return end_pass(t, now_us);
     }
-    *handle = it_late(t, now_us);
+    *handle = it_pop_expired(t, now_us);
     if (*handle != NULL) {
-        t->taken_us = 0;
+        t->dequeued_us = 0;
         return IT_REFUSE;
     }
     *handle = r->handle;
-    t->taken_us = now_us;
+    t->dequeued_us = now_us;
     remove_request(t, r);
-    return IT_BEGIN;
+    return IT_START;
 }
 
 size_t
--- a/lag.c
+++ b/lag.c
@@ -45,11 +45,11 @@
 }
 
 void
-lg_pass_begins(struct lag *l, uint64_t now_us)
+lg_pass_start(struct lag *l, uint64_t now_us)
 {
-    l->began_us = now_us;
-    if (l->ended_us != 0) {
-        l->busy *= faded((double)(now_us - l->ended_us), BUSY_US);
+    l->pass_start_us = now_us;
+    if (l->pass_end_us != 0) {
+        l->utilization *= faded((double)(now_us - l->pass_end_us), BUSY_US);
     }
 }
 
@@ -64,117 +64,121 @@
 
 /* The usual time is learned while there is nothing unusual. */
 void
-lg_probe(struct lag *l, uint64_t now_us, uint64_t took_us, size_t items)
+lg_record_probe(struct lag *l, uint64_t now_us, uint64_t took_us, size_t items)
 {
-    double since = (double)(now_us - l->probed_us);
+    double since = (double)(now_us - l->last_probe_us);
     double item_us = (double)took_us / (double)items;
 
-    l->probed_us = now_us;
-    learn(&l->probe_us, item_us, l->probes, since, PROBE_US);
-    if (!l->out && l->busy < BEHIND && !lg_is_slow(l)) {
-        learn(&l->usual_us, l->probe_us, l->probes, since, USUAL_US);
+    l->last_probe_us = now_us;
+    learn(&l->recent_us, item_us, l->probe_count, since, PROBE_US);
+    if (!l->out_of_rotation && l->utilization < BEHIND && !lg_is_slow(l)) {
+        learn(&l->baseline_us, l->recent_us, l->probe_count, since, USUAL_US);
     }
-    l->probes++;
+    l->probe_count++;
 }
 
 static bool
 must_leave(const struct lag *l, uint64_t now_us)
 {
     if (lg_is_slow(l)) {
-        return l->busy > BEHIND_SLOW;
+        return l->utilization > BEHIND_SLOW;
     }
-    return l->late_us != 0 && now_us - l->late_us >= BEHIND_US &&
-           (l->turned_us == 0 || now_us - l->turned_us > IN_MIN_US);
+    return l->overloaded_since_us != 0 &&
+           now_us - l->overloaded_since_us >= BEHIND_US &&
+           (l->rotation_changed_us == 0 ||
+               now_us - l->rotation_changed_us > IN_MIN_US);
 }
 
 static bool
 may_return(const struct lag *l, uint64_t now_us)
 {
-    uint64_t out = now_us - l->turned_us;
+    uint64_t out = now_us - l->rotation_changed_us;
 
-    if (!l->left_slow) {
+    if (!l->removed_slow) {
         return out >= OUT_MIN_US;
     }
-    if (out < OUT_MIN_US || l->busy > CAUGHT_UP) {
+    if (out < OUT_MIN_US || l->utilization > CAUGHT_UP) {
         return false;
     }
-    return out > OUT_MAX_US || l->probe_us < USUAL * l->usual_us;
+    return out > OUT_MAX_US || l->recent_us < USUAL * l->baseline_us;
 }
 
 static void
 decide(struct lag *l, uint64_t now_us)
 {
-    if (l->busy < BEHIND) {
-        l->late_us = 0;
+    if (l->utilization < BEHIND) {
+        l->overloaded_since_us = 0;
     }
-    else if (l->late_us == 0) {
-        l->late_us = now_us;
+    else if (l->overloaded_since_us == 0) {
+        l->overloaded_since_us = now_us;
     }
-    if (l->out ? may_return(l, now_us) : must_leave(l, now_us)) {
-        l->out = !l->out;
-        l->left_slow = l->out && lg_is_slow(l);
-        l->turned_us = now_us;
+    if (l->out_of_rotation ? may_return(l, now_us) : must_leave(l, now_us)) {
+        l->out_of_rotation = !l->out_of_rotation;
+        l->removed_slow = l->out_of_rotation && lg_is_slow(l);
+        l->rotation_changed_us = now_us;
     }
 }
 
 void
-lg_pass_ends(struct lag *l, uint64_t now_us)
+lg_pass_end(struct lag *l, uint64_t now_us)
 {
-    double pass = (double)(now_us - l->began_us);
+    double pass = (double)(now_us - l->pass_start_us);
 
-    if (l->began_us == 0) {
+    if (l->pass_start_us == 0) {
         return;
     }
-    l->busy = 1 - faded(pass, BUSY_US) * (1 - l->busy);
-    l->ended_us = now_us;
+    l->utilization = 1 - faded(pass, BUSY_US) * (1 - l->utilization);
+    l->pass_end_us = now_us;
     decide(l, now_us);
 }
 
 bool
-lg_is_out(const struct lag *l)
+lg_is_out_of_rotation(const struct lag *l)
 {
-    return l->out;
+    return l->out_of_rotation;
 }
 
 bool
 lg_is_slow(const struct lag *l)
 {
-    return l->probes >= PROBES_MIN && l->probe_us > SLOW * l->usual_us;
+    return l->probe_count >= PROBES_MIN &&
+           l->recent_us > SLOW * l->baseline_us;
 }
 
 bool
-lg_has_time(const struct lag *l)
+lg_has_spare_time(const struct lag *l)
 {
-    return l->busy < HAS_TIME;
+    return l->utilization < HAS_TIME;
 }
 
 /* How far it is from a part of the time busy to being behind, 0 to 1. */
 static double
 toward_behind(const struct lag *l, double from)
 {
-    return fmin(fmax(l->busy - from, 0) / (BEHIND - from), 1);
+    return fmin(fmax(l->utilization - from, 0) / (BEHIND - from), 1);
 }
 
 double
-lg_give_part(const struct lag *l)
+lg_forward_share(const struct lag *l)
 {
-    return l->out && lg_is_slow(l) ? 1 : toward_behind(l, GIVE_FROM);
+    return l->out_of_rotation && lg_is_slow(l) ? 1
+                                               : toward_behind(l, GIVE_FROM);
 }
 
 bool
-lg_gives(struct lag *l)
+lg_should_forward(struct lag *l)
 {
-    l->give_due += lg_give_part(l);
-    if (l->give_due < 1) {
+    l->forward_due += lg_forward_share(l);
+    if (l->forward_due < 1) {
         return false;
     }
-    l->give_due -= 1;
+    l->forward_due -= 1;
     return true;
 }
 
 uint32_t
-lg_pause_ms(const struct lag *l)
+lg_report_interval_ms(const struct lag *l)
 {
     return (uint32_t)(PAUSE_STEPS * toward_behind(l, PAUSE_FROM)) *
-           LG_PAUSE_MAX_MS / PAUSE_STEPS;
+           LG_REPORT_INTERVAL_MAX_MS / PAUSE_STEPS;
 }
--- a/lag.h
+++ b/lag.h
@@ -27,44 +27,45 @@
 
 /* Times are us of one steady clock. */
 struct lag {
-    uint64_t began_us; /* this pass */
-    uint64_t ended_us; /* the pass before; 0: none yet */
-    double busy;       /* part of the time spent in passes, lately */
-    uint32_t probes;
-    double give_due; /* requests that should have been given */
-    double probe_us; /* what an item of the probe takes, lately */
-    double usual_us; /* and usually */
-    uint64_t probed_us;
-    bool out;
-    bool left_slow;     /* it went out as it was slow */
-    uint64_t turned_us; /* when it went out or came back last */
-    uint64_t late_us;   /* since when it is too busy; 0: it is not */
+    uint64_t pass_start_us; /* this pass */
+    uint64_t pass_end_us;   /* the pass before; 0: none yet */
+    double utilization;     /* part of the time spent in passes, lately */
+    uint32_t probe_count;
+    double forward_due; /* requests that should have been given */
+    double recent_us;   /* what an item of the probe takes, lately */
+    double baseline_us; /* and usually */
+    uint64_t last_probe_us;
+    bool out_of_rotation;
+    bool removed_slow;            /* it went out as it was slow */
+    uint64_t rotation_changed_us; /* when it went out or came back last */
+    uint64_t overloaded_since_us; /* since when it is too busy; 0: it is not */
 };
 
 /* ms between its reports on a changed room that an agent is asked to leave, at
  * the most. */
-#define LG_PAUSE_MAX_MS 100U
+#define LG_REPORT_INTERVAL_MAX_MS 100U
 
-void lg_pass_begins(struct lag *l, uint64_t now_us);
-void lg_pass_ends(struct lag *l, uint64_t now_us);
+void lg_pass_start(struct lag *l, uint64_t now_us);
+void lg_pass_end(struct lag *l, uint64_t now_us);
 /* A piece of work that is done regularly took this long for so many items. */
-void lg_probe(struct lag *l, uint64_t now_us, uint64_t took_us, size_t items);
+void lg_record_probe(
+    struct lag *l, uint64_t now_us, uint64_t took_us, size_t items);
 
 /* A request has come; true if another entry had better begin it. */
-bool lg_gives(struct lag *l);
+bool lg_should_forward(struct lag *l);
 
 /* Queries, as of the last pass. */
 /* Out of the balancer's rotation. */
-bool lg_is_out(const struct lag *l);
+bool lg_is_out_of_rotation(const struct lag *l);
 /* Far slower than usual. */
 bool lg_is_slow(const struct lag *l);
 /* Less than half of the time busy: requests of others are welcome, and others
  * need not begin ours. */
-bool lg_has_time(const struct lag *l);
+bool lg_has_spare_time(const struct lag *l);
 /* The part of the requests that come which others had better begin. */
-double lg_give_part(const struct lag *l);
+double lg_forward_share(const struct lag *l);
 /* ms that agents are asked to leave between reports on their room. */
-uint32_t lg_pause_ms(const struct lag *l);
+uint32_t lg_report_interval_ms(const struct lag *l);
 
 #ifdef __cplusplus
 }
--- a/turn.c
+++ b/qpolicy.c
@@ -1,4 +1,4 @@
-#include "turn.h"
+#include "qpolicy.h"
 
 #include <math.h>
 #include <string.h>
@@ -30,23 +30,23 @@
  * late: the oldest, which have missed theirs, go before those that could
  * still meet it.
  */
-enum turn
-tn_of(const struct co_job *j, uint64_t now)
+enum qp_class
+qp_class_of(const struct co_job *j, uint64_t now)
 {
-    if (j->begun) {
-        return TURN_BEGUN;
+    if (j->started) {
+        return QP_STARTED;
     }
-    if (now + j->longest_ms <= j->objective_ms) {
-        return TURN_ON_TIME;
+    if (now + j->longest_task_ms <= j->objective_ms) {
+        return QP_ON_TIME;
     }
-    return now + co_least_ms(j) < j->use_ms ? TURN_LATE : TURN_SPARE;
+    return now + co_fastest_ms(j) < j->useful_until_ms ? QP_LATE : QP_STALE;
 }
 
 /* --- room for what will come --- */
 
 void
-tn_look(struct tn_room *room, const struct coord *c, uint64_t now,
-    const struct co_job *j)
+qp_update_capacity(struct qp_capacity *room, const struct coord *c,
+    uint64_t now, const struct co_job *j)
 {
     uint32_t task = j->tasks[0].spec.millicores;
 
@@ -61,18 +61,20 @@
 static double
 room_left(const struct fl_sum *sum, uint64_t now, const struct co_job *j)
 {
-    enum turn turn = tn_of(j, now);
+    enum qp_class turn = qp_class_of(j, now);
 
-    if (turn == TURN_BEGUN) {
+    if (turn == QP_STARTED) {
         return 0;
     }
     return ROOM_LEFT * (double)sum->capacity *
-           (turn == TURN_ON_TIME ? sl_tighter(&j->load->mix, j->slack_ms) : 1);
+           (turn == QP_ON_TIME
+                   ? sl_more_urgent_share(&j->load->slack, j->slack_ms)
+                   : 1);
 }
 
 bool
-tn_leaves_room(
-    const struct tn_room *room, uint64_t now, const struct co_job *j)
+qp_must_hold_back(
+    const struct qp_capacity *room, uint64_t now, const struct co_job *j)
 {
     return (double)room->sum.free < room_left(&room->sum, now, j);
 }
@@ -89,7 +91,7 @@
 {
     struct waiting w = {0, 0, 0};
 
-    for (uint32_t i = 0; i < j->count; i++) {
+    for (uint32_t i = 0; i < j->task_count; i++) {
         const struct co_task *t = &j->tasks[i];
 
         if (t->state == CO_WAITING) {
@@ -104,9 +106,9 @@
 }
 
 void
-tn_note_job(uint64_t now, struct co_job *j, const struct gs_guess *g)
+qp_record_job(uint64_t now, struct co_job *j, const struct gs_guess *g)
 {
-    struct co_load *l = j->load;
+    struct co_service_load *l = j->load;
     double work;
 
     j->slack_ms = (uint32_t)num_minus(g->objective_ms, g->run_ms);
@@ -114,8 +116,8 @@
         return; /* it is late already and makes nobody wait */
     }
     work = waiting_of(j).work;
-    sl_note(&l->mix, now, j->slack_ms, work);
-    in_note(&l->inflow, now, g->objective_ms, work);
+    sl_record(&l->slack, now, j->slack_ms, work);
+    in_record(&l->inflow, now, g->objective_ms, work);
 }
 
 /* --- refusing what will not be served --- */
@@ -132,7 +134,7 @@
 /* Cores that are held by this entry's runs now, free ones, and workers that
  * are on their way back. */
 static struct line
-line_of(const struct coord *c, uint64_t now, const struct co_load *l)
+line_of(const struct coord *c, uint64_t now, const struct co_service_load *l)
 {
     struct line line = {{0, 0, 0, 0}, 0, 0, 0};
     uint32_t least = 0;
@@ -146,7 +148,7 @@
         }
     }
     line.sum = fl_sum_up(&c->fleet, now, l->service, least);
-    line.cores = (double)l->out_millicores * line.sum.pace +
+    line.cores = (double)l->dispatched_millicores * line.sum.pace +
                  (double)line.sum.free + (double)line.sum.coming;
     line.cores = fmax(line.cores, LEAST_PART * (double)line.sum.capacity);
     return line;
@@ -171,8 +173,9 @@
     work = line->work * fmin(1, (ahead - room) / fmax(line->millicores, 1));
     wait = work / line->cores;
     for (int i = 0; i < WAIT_ROUNDS && wait < objective; i++) {
-        wait = (work + in_before(&j->load->inflow, now, objective, wait)) /
-               line->cores;
+        wait =
+            (work + in_work_before(&j->load->inflow, now, objective, wait)) /
+            line->cores;
     }
     return wait;
 }
@@ -191,25 +194,25 @@
 gets_no_turn(const struct line *line, uint64_t now, const struct co_job *j)
 {
     double wait = wait_ms(line, now, j);
-    double done = (double)(now + co_least_ms(j)) + wait;
+    double done = (double)(now + co_fastest_ms(j)) + wait;
 
-    switch (tn_of(j, now)) {
-    case TURN_BEGUN:
+    switch (qp_class_of(j, now)) {
+    case QP_STARTED:
         return false;
-    case TURN_SPARE:
+    case QP_STALE:
         return done > (double)j->deadline_ms || !fits_beside(line, now, j);
-    case TURN_ON_TIME:
-    case TURN_LATE:
-    case TURN_COUNT:
+    case QP_ON_TIME:
+    case QP_LATE:
+    case QP_COUNT:
         break;
     }
-    return done > (double)num_min(j->deadline_ms, j->use_ms);
+    return done > (double)num_min(j->deadline_ms, j->useful_until_ms);
 }
 
 /* Those of one kind of turn. */
 static void
-shed(struct coord *c, uint64_t now, enum turn turn, const struct co_load *l,
-    struct line *line)
+shed(struct coord *c, uint64_t now, enum qp_class turn,
+    const struct co_service_load *l, struct line *line)
 {
     struct co_job *j;
     struct co_job *tmp;
@@ -217,7 +220,7 @@
     DL_FOREACH_SAFE (c->queue, j, tmp) {
         struct waiting w;
 
-        if (j->load != l || tn_of(j, now) != turn) {
+        if (j->load != l || qp_class_of(j, now) != turn) {
             continue;
         }
         if (gets_no_turn(line, now, j)) {
@@ -238,19 +241,19 @@
  * that its caller can do something else.
  */
 void
-tn_shed(struct coord *c, uint64_t now)
+qp_shed(struct coord *c, uint64_t now)
 {
-    const struct co_load *l;
+    const struct co_service_load *l;
 
     for (l = c->loads; l != NULL; l = l->hh.next) {
         struct line line;
 
-        if (l->waiting_work == 0) {
+        if (l->queued_work == 0) {
             continue;
         }
         line = line_of(c, now, l);
-        for (int turn = 0; turn < TURN_COUNT && line.cores > 0; turn++) {
-            shed(c, now, (enum turn)turn, l, &line);
+        for (int turn = 0; turn < QP_COUNT && line.cores > 0; turn++) {
+            shed(c, now, (enum qp_class)turn, l, &line);
         }
     }
 }
@@ -260,10 +263,11 @@
  * again: so each is told another time, from when what waits now has gone.
  */
 uint32_t
-tn_retry_ms(struct coord *c, uint64_t now, const struct co_load *load)
+qp_retry_after_ms(
+    struct coord *c, uint64_t now, const struct co_service_load *load)
 {
     struct line line = line_of(c, now, load);
-    double wait = line.cores > 0 ? (double)load->waiting_work / line.cores : 0;
+    double wait = line.cores > 0 ? (double)load->queued_work / line.cores : 0;
     double chance;
 
     c->fleet.seed = mix64(c->fleet.seed, now);
@@ -277,7 +281,7 @@
 static void
 add_want(dw_want *w, const struct co_job *j, bool urgent)
 {
-    for (uint32_t i = 0; i < j->count; i++) {
+    for (uint32_t i = 0; i < j->task_count; i++) {
         const struct co_task *t = &j->tasks[i];
 
         if (t->state != CO_WAITING) {
@@ -296,19 +300,19 @@
 }
 
 dw_want
-tn_want(struct coord *c, uint64_t now, const char *service)
+qp_demand(struct coord *c, uint64_t now, const char *service)
 {
-    dw_want w = {0, 0, 0, c->room_pause_ms};
-    struct tn_room room = {0};
+    dw_want w = {0, 0, 0, c->report_interval_ms};
+    struct qp_capacity room = {0};
     const struct co_job *j;
 
     for (j = c->queue; j != NULL; j = j->next) {
         if (strcmp(j->load->service, service) != 0) {
             continue;
         }
-        tn_look(&room, c, now, j);
-        if (!tn_leaves_room(&room, now, j)) {
-            add_want(&w, j, tn_of(j, now) <= TURN_ON_TIME);
+        qp_update_capacity(&room, c, now, j);
+        if (!qp_must_hold_back(&room, now, j)) {
+            add_want(&w, j, qp_class_of(j, now) <= QP_ON_TIME);
         }
     }
     return w;
@@ -324,7 +328,7 @@
 /* Agents must hear soon of what begins or ceases to wait, and now and then of
  * how much it is. */
 bool
-tn_must_tell(const struct fl_agent *a, uint64_t now, const dw_want *w)
+qp_must_report_demand(const struct fl_agent *a, uint64_t now, const dw_want *w)
 {
     if (!a->live) {
         return false;
--- a/rank.c
+++ b/rank.c
@@ -18,7 +18,7 @@
 }
 
 void
-rk_in(struct rk_table *t, const char *name, const char *domain)
+rk_mark_present(struct rk_table *t, const char *name, const char *domain)
 {
     struct rk_entry *e;
 
@@ -29,37 +29,38 @@
         HASH_ADD_STR(t->entries, name, e);
     }
     str_copy(e->domain, sizeof(e->domain), str_of(domain));
-    e->here = true;
+    e->present = true;
 }
 
 void
-rk_out(struct rk_table *t, uint64_t now, const char *name)
+rk_mark_absent(struct rk_table *t, uint64_t now, const char *name)
 {
     struct rk_entry *e;
 
     for (e = t->entries; e != NULL; e = e->hh.next) {
-        if (e->here && (name == NULL || strcmp(e->name, name) == 0)) {
-            e->here = false;
-            e->gone_ms = now;
+        if (e->present && (name == NULL || strcmp(e->name, name) == 0)) {
+            e->present = false;
+            e->absent_since_ms = now;
         }
     }
 }
 
-struct rk_place
-rk_find(struct rk_table *t, uint64_t now, const char *name, const char *domain)
+struct rk_rank
+rk_rank_of(
+    struct rk_table *t, uint64_t now, const char *name, const char *domain)
 {
-    struct rk_place place = {0, 0};
+    struct rk_rank place = {0, 0};
     struct rk_entry *e;
     struct rk_entry *tmp;
 
     HASH_ITER (hh, t->entries, e, tmp) {
-        if (!e->here && now - e->gone_ms > RK_KEEP_MS) {
+        if (!e->present && now - e->absent_since_ms > RK_KEEP_MS) {
             HASH_DEL(t->entries, e);
             free(e);
         }
         else if (strcmp(e->name, name) < 0) {
-            place.all++;
-            place.near += strcmp(e->domain, domain) == 0;
+            place.total++;
+            place.local += strcmp(e->domain, domain) == 0;
         }
     }
     return place;
--- a/rank.h
+++ b/rank.h
@@ -25,8 +25,8 @@
 struct rk_entry {
     char name[RK_NAME_MAX];
     char domain[RK_NAME_MAX];
-    bool here;
-    uint64_t gone_ms; /* since when it is not here */
+    bool present;
+    uint64_t absent_since_ms; /* since when it is not here */
     UT_hash_handle hh;
 };
 
@@ -34,17 +34,17 @@
     struct rk_entry *entries;
 };
 
-struct rk_place {
-    uint32_t near; /* entries of the domain before this one */
-    uint32_t all;
+struct rk_rank {
+    uint32_t local; /* entries of the domain before this one */
+    uint32_t total;
 };
 
 void rk_free(struct rk_table *t);
-void rk_in(struct rk_table *t, const char *name, const char *domain);
+void rk_mark_present(struct rk_table *t, const char *name, const char *domain);
 /* NULL: every entry. */
-void rk_out(struct rk_table *t, uint64_t now, const char *name);
+void rk_mark_absent(struct rk_table *t, uint64_t now, const char *name);
 /* Forgets those that vanished long ago. */
-struct rk_place rk_find(
+struct rk_rank rk_rank_of(
     struct rk_table *t, uint64_t now, const char *name, const char *domain);
 
 #ifdef __cplusplus
--- a/simcall.c
+++ b/simcall.c
@@ -216,13 +216,13 @@
     sub.spec = STR("spec");
     sub.service = SIM_SERVICE;
     sub.priority = k->priority;
-    sub.attempts = k->attempts;
+    sub.max_attempts = k->attempts;
     snprintf(routes[j->kind], sizeof(routes[j->kind]), "kind-%u", j->kind);
     sub.route_name = routes[j->kind];
     sub.route = (struct gs_route){k->stretch_milli, k->slo_ms};
-    sub.left_ms = (uint32_t)(num_minus(j->deadline_us, s->now_us) / 1000);
+    sub.timeout_ms = (uint32_t)(num_minus(j->deadline_us, s->now_us) / 1000);
     sub.tasks = tasks;
-    sub.count = j->count;
+    sub.task_count = j->count;
     return sub;
 }
 
--- a/simentry.c
+++ b/simentry.c
@@ -133,7 +133,7 @@
     for (uint32_t i = 0; i < j->count; i++) {
         longest = (uint32_t)num_max(longest, j->task_us[i] / 1000);
     }
-    sim_note_estimate(e->s, (uint32_t)job->longest_ms, longest);
+    sim_note_estimate(e->s, (uint32_t)job->longest_task_ms, longest);
 }
 
 static void
@@ -228,8 +228,8 @@
 {
     struct sim_entry *e = ctx;
 
-    if (!it_drop(&e->intake, t->data)) {
-        co_leave(&e->c, sim_ms(e->s), t->data);
+    if (!it_remove(&e->intake, t->data)) {
+        co_caller_left(&e->c, sim_ms(e->s), t->data);
     }
     free_caller(e, t->data);
 }
@@ -293,7 +293,7 @@
         return; /* its caller has left */
     }
     who = new_caller(e, j, NULL);
-    if (lg_gives(&e->lag) && give(e, who)) {
+    if (lg_should_forward(&e->lag) && give(e, who)) {
         return;
     }
     if (!it_add(&e->intake, present_us(e), who) && !give(e, who)) {
@@ -328,29 +328,31 @@
 static void
 tick(struct sim_entry *e)
 {
-    struct rl_state state = {lg_has_time(&e->lag) && !lg_is_out(&e->lag),
-        (uint32_t)(e->lag.busy * 1000), 0};
+    struct rl_state state = {
+        lg_has_spare_time(&e->lag) && !lg_is_out_of_rotation(&e->lag),
+        (uint32_t)(e->lag.utilization * 1000), 0};
     uint64_t now = sim_ms(e->s);
     double before = e->spent_us;
 
     rl_tell(&e->relay, &state);
-    if (!lg_has_time(&e->lag) && !e->s->d->entries_keep) {
+    if (!lg_has_spare_time(&e->lag) && !e->s->d->entries_keep) {
         rl_need(&e->relay, now);
     }
     rl_tick(&e->relay, now);
     spend(e, TICK_WORK_US);
     co_tick(&e->c, now);
-    lg_probe(&e->lag, present_us(e), (uint64_t)(e->spent_us - before), 1);
-    if (gs_keep_due(&e->c.times, now)) {
+    lg_record_probe(
+        &e->lag, present_us(e), (uint64_t)(e->spent_us - before), 1);
+    if (gs_keep_due(&e->c.run_times, now)) {
         buf_free(&e->s->times[e->index]);
-        gs_save(&e->c.times, &e->s->times[e->index]);
+        gs_save(&e->c.run_times, &e->s->times[e->index]);
     }
 }
 
 static void
 begin_requests(struct sim_entry *e)
 {
-    enum it_turn turn;
+    enum it_action turn;
     void *who;
 
     for (;;) {
@@ -385,7 +387,7 @@
         return;
     }
     e->spent_us = 0;
-    lg_pass_begins(&e->lag, s->now_us);
+    lg_pass_start(&e->lag, s->now_us);
     spend(e, PASS_US);
     take_inputs(e, false);
     if (s->now_us >= e->tick_us) {
@@ -393,10 +395,10 @@
         e->tick_us = s->now_us + SIM_TICK_US;
     }
     begin_requests(e);
-    e->c.room_pause_ms = lg_pause_ms(&e->lag);
+    e->c.report_interval_ms = lg_report_interval_ms(&e->lag);
     flush(e);
     take_inputs(e, true);
-    lg_pass_ends(&e->lag, present_us(e));
+    lg_pass_end(&e->lag, present_us(e));
     s->out->longest_pass_us = num_max(s->out->longest_pass_us, spent_us(e));
     sim_at(s, num_max(spent_us(e), 1), pass, p);
 }
@@ -458,8 +460,8 @@
     if (who == NULL) {
         return; /* not read yet */
     }
-    if (!it_drop(&e->intake, who) && !rl_drop(&e->relay, who)) {
-        co_leave(&e->c, sim_ms(e->s), who);
+    if (!it_remove(&e->intake, who) && !rl_drop(&e->relay, who)) {
+        co_caller_left(&e->c, sim_ms(e->s), who);
     }
     free_caller(e, who);
     if (!has_processor(e)) {
@@ -479,8 +481,9 @@
         free(p);
         return;
     }
-    e->missed_looks =
-        lg_is_out(&e->lag) && !s->d->entries_stay ? e->missed_looks + 1 : 0;
+    e->missed_looks = lg_is_out_of_rotation(&e->lag) && !s->d->entries_stay
+                          ? e->missed_looks + 1
+                          : 0;
     sim_at(s, LOOK_US, look, p);
 }
 
@@ -545,7 +548,7 @@
     if (e != NULL) {
         tell_members(e);
         for (uint32_t i = 0; i < s->d->entries; i++) {
-            gs_load(&e->c.times, buf_str(&s->times[i]));
+            gs_load(&e->c.run_times, buf_str(&s->times[i]));
         }
         flush(e);
     }
--- a/slack.c
+++ b/slack.c
@@ -20,19 +20,19 @@
 }
 
 void
-sl_note(struct sl_mix *m, uint64_t now, uint32_t slack_ms, double work)
+sl_record(struct sl_histogram *m, uint64_t now, uint32_t slack_ms, double work)
 {
-    double kept = exp2(-(double)(now - m->at_ms) / HALF_MS);
+    double kept = exp2(-(double)(now - m->decayed_ms) / HALF_MS);
 
     for (uint32_t b = 0; b < SL_BUCKETS; b++) {
         m->work[b] *= kept;
     }
-    m->at_ms = now;
+    m->decayed_ms = now;
     m->work[bucket_of(slack_ms)] += work;
 }
 
 double
-sl_tighter(const struct sl_mix *m, uint32_t slack_ms)
+sl_more_urgent_share(const struct sl_histogram *m, uint32_t slack_ms)
 {
     uint32_t own = bucket_of(slack_ms);
     double tighter = 0;
--- a/slack.h
+++ b/slack.h
@@ -22,17 +22,18 @@
 #define SL_BUCKETS 20U
 
 /* Work that came lately, by the time that it had to spare. */
-struct sl_mix {
+struct sl_histogram {
     double work[SL_BUCKETS];
-    uint64_t at_ms; /* until when old work has been faded */
+    uint64_t decayed_ms; /* until when old work has been faded */
 };
 
 /* A job came that can wait for slack_ms and takes so much work (in any
  * unit). */
-void sl_note(struct sl_mix *m, uint64_t now, uint32_t slack_ms, double work);
+void sl_record(
+    struct sl_histogram *m, uint64_t now, uint32_t slack_ms, double work);
 
 /* The part of the work, 0 to 1, that can wait for half of slack_ms at most. */
-double sl_tighter(const struct sl_mix *m, uint32_t slack_ms);
+double sl_more_urgent_share(const struct sl_histogram *m, uint32_t slack_ms);
 
 #ifdef __cplusplus
 }
--- a/test/coord-test.cc
+++ b/test/coord-test.cc
@@ -132,12 +132,12 @@
         s.wall_ms = 50;
         s.spec = STR("x");
         s.service = "s";
-        s.attempts = 2;
+        s.max_attempts = 2;
         s.route_name = "r";
         s.route = {stretch, 100}; /* an objective of 200 ms */
-        s.left_ms = left;
+        s.timeout_ms = left;
         s.tasks = tasks.data();
-        s.count = count;
+        s.task_count = count;
         co_submit(&c, now, &s, handle);
         co_flush(&c, now);
     }
@@ -236,11 +236,11 @@
 
     e.submit(5, 1, &caller);
     size_t sent = e.callers.sent.size();
-    co_leave(&e.c, e.now, &caller);
+    co_caller_left(&e.c, e.now, &caller);
     co_flush(&e.c, e.now);
     ASSERT_EQ(e.callers.sent.size(), sent + 1);
     EXPECT_EQ(e.callers.sent.back()->dw_msg_u.orders.stops.stops_len, 1u);
-    EXPECT_EQ(co_running(&e.c), 0u);
+    EXPECT_EQ(co_job_count(&e.c), 0u);
 }
 
 /* A task runs twice: its agent fell silent and the entry started it elsewhere
@@ -393,9 +393,9 @@
     for (uint64_t id = 100; id < 300; id++) {
         e.submit(id, 1, &caller); /* 1500 ms are left: 150 of them fit */
     }
-    EXPECT_GT(co_pending(&e.c), 130u);
-    EXPECT_LT(co_pending(&e.c), 160u);
-    ASSERT_EQ(e.callers.answers.size(), 200 - co_pending(&e.c));
+    EXPECT_GT(co_unstarted_count(&e.c), 130u);
+    EXPECT_LT(co_unstarted_count(&e.c), 160u);
+    ASSERT_EQ(e.callers.answers.size(), 200 - co_unstarted_count(&e.c));
     for (size_t i = 0; i < e.callers.answers.size(); i++) {
         EXPECT_EQ(e.callers.answers[i].second, CO_NOT_RUN);
         EXPECT_EQ(e.callers.reasons[i], "no_turn");
@@ -440,9 +440,9 @@
     for (uint64_t id = 100; id < 200; id++) {
         e.submit(id, 1, &caller);
     }
-    EXPECT_GT(co_pending(&e.c), 5u);
-    EXPECT_LT(co_pending(&e.c), 20u);
-    EXPECT_EQ(e.callers.answers.size(), 100 - co_pending(&e.c));
+    EXPECT_GT(co_unstarted_count(&e.c), 5u);
+    EXPECT_LT(co_unstarted_count(&e.c), 20u);
+    EXPECT_EQ(e.callers.answers.size(), 100 - co_unstarted_count(&e.c));
 }
 
 /* Callers that were refused in one moment come back in one moment, and are
@@ -478,6 +478,6 @@
     for (uint64_t id = 100; id < 300; id++) {
         e.submit(id, 1, &caller);
     }
-    EXPECT_EQ(co_pending(&e.c), 200u);
+    EXPECT_EQ(co_unstarted_count(&e.c), 200u);
     EXPECT_TRUE(e.callers.answers.empty());
 }
--- a/test/inflow-test.cc
+++ b/test/inflow-test.cc
@@ -12,7 +12,7 @@
     in_flow f = {};
 
     for (uint64_t now = 0; now <= 20000; now += 10) {
-        in_note(&f, now, 200, 100);
+        in_record(&f, now, 200, 100);
     }
     return f;
 }
@@ -23,8 +23,8 @@
 {
     in_flow f = steady();
 
-    EXPECT_NEAR(in_before(&f, 20000, 2000, 100), 1000, 50);
-    EXPECT_EQ(in_before(&f, 20000, 100, 100), 0);
+    EXPECT_NEAR(in_work_before(&f, 20000, 2000, 100), 1000, 50);
+    EXPECT_EQ(in_work_before(&f, 20000, 100, 100), 0);
 }
 
 /* What comes later than 300 ms before its objective is behind it. */
@@ -32,12 +32,12 @@
 {
     in_flow f = steady();
 
-    EXPECT_NEAR(in_before(&f, 20000, 500, 10000), 3000, 400);
+    EXPECT_NEAR(in_work_before(&f, 20000, 500, 10000), 3000, 400);
 }
 
 TEST(Inflow, WhatCeasesToComeIsForgotten)
 {
     in_flow f = steady();
 
-    EXPECT_NEAR(in_before(&f, 21000, 2000, 100), 500, 50);
+    EXPECT_NEAR(in_work_before(&f, 21000, 2000, 100), 500, 50);
 }
--- a/test/lag-test.cc
+++ b/test/lag-test.cc
@@ -25,11 +25,11 @@
         for (int i = 0; now < end; i++) {
             uint64_t pass = (uint64_t)(10000 * busy);
 
-            lg_pass_begins(&l, now);
+            lg_pass_start(&l, now);
             if (i % 2 == 0) {
-                lg_probe(&l, now, (uint64_t)probe_us, 1);
+                lg_record_probe(&l, now, (uint64_t)probe_us, 1);
             }
-            lg_pass_ends(&l, now + pass);
+            lg_pass_end(&l, now + pass);
             now += 10000;
         }
     }
@@ -39,7 +39,7 @@
     {
         uint64_t began = now;
 
-        while (lg_is_out(&l) != out && now < began + 60 * SECOND) {
+        while (lg_is_out_of_rotation(&l) != out && now < began + 60 * SECOND) {
             run(10000, busy, probe_us);
         }
         return now - began;
@@ -53,7 +53,7 @@
     Process p;
 
     p.run(10 * SECOND, 0.3, 100);
-    EXPECT_FALSE(lg_is_out(&p.l));
+    EXPECT_FALSE(lg_is_out_of_rotation(&p.l));
     EXPECT_LT(p.until(true, 1, 600), SECOND / 2);
 }
 
@@ -65,14 +65,14 @@
     uint64_t now = SECOND;
 
     for (int i = 0; i < 500; i++, now += 20000) {
-        lg_probe(&l, now, 100, 24);
+        lg_record_probe(&l, now, 100, 24);
     }
     for (int i = 0; i < 100; i++, now += 20000) {
-        lg_probe(&l, now, 1000, 240);
+        lg_record_probe(&l, now, 1000, 240);
     }
     EXPECT_FALSE(lg_is_slow(&l));
     for (int i = 0; i < 100; i++, now += 20000) {
-        lg_probe(&l, now, 6000, 240);
+        lg_record_probe(&l, now, 6000, 240);
     }
     EXPECT_TRUE(lg_is_slow(&l));
 }
@@ -83,7 +83,7 @@
 
     p.run(10 * SECOND, 0.1, 100);
     p.run(10 * SECOND, 0.5, 600);
-    EXPECT_FALSE(lg_is_out(&p.l));
+    EXPECT_FALSE(lg_is_out_of_rotation(&p.l));
 }
 
 /* It comes back at once, is behind again before it has been seen to be ready,
@@ -95,7 +95,7 @@
     p.run(10 * SECOND, 0.3, 100);
     p.until(true, 1, 600);
     p.run(7 * SECOND, 0.1, 600);
-    EXPECT_TRUE(lg_is_out(&p.l));
+    EXPECT_TRUE(lg_is_out_of_rotation(&p.l));
     EXPECT_LT(p.until(false, 0.1, 100), 2 * SECOND);
 }
 
@@ -118,7 +118,7 @@
     p.run(10 * SECOND, 0.3, 100);
     for (int i = 0; i < 6000; i++) {
         p.run(10000, 1, 100); /* as those out of rotation get callers too */
-        out += lg_is_out(&p.l);
+        out += lg_is_out_of_rotation(&p.l);
     }
     EXPECT_LT(out, 6000u / 6);
 }
@@ -129,7 +129,7 @@
 
     p.run(10 * SECOND, 0.3, 100);
     p.run(SECOND / 4, 1, 100);
-    EXPECT_FALSE(lg_is_out(&p.l));
+    EXPECT_FALSE(lg_is_out_of_rotation(&p.l));
 }
 
 TEST(Lag, ABusyEntryAsksForLessAndGivesMore)
@@ -137,15 +137,15 @@
     Process p;
 
     p.run(5 * SECOND, 0.3, 100);
-    EXPECT_EQ(lg_pause_ms(&p.l), 0u);
-    EXPECT_EQ(lg_give_part(&p.l), 0);
+    EXPECT_EQ(lg_report_interval_ms(&p.l), 0u);
+    EXPECT_EQ(lg_forward_share(&p.l), 0);
     p.run(5 * SECOND, 0.75, 100);
-    EXPECT_GT(lg_pause_ms(&p.l), 0u);
-    EXPECT_GT(lg_give_part(&p.l), 0.2);
-    EXPECT_LT(lg_give_part(&p.l), 0.8);
+    EXPECT_GT(lg_report_interval_ms(&p.l), 0u);
+    EXPECT_GT(lg_forward_share(&p.l), 0.2);
+    EXPECT_LT(lg_forward_share(&p.l), 0.8);
     p.run(5 * SECOND, 1, 100);
-    EXPECT_EQ(lg_pause_ms(&p.l), LG_PAUSE_MAX_MS);
-    EXPECT_EQ(lg_give_part(&p.l), 1);
+    EXPECT_EQ(lg_report_interval_ms(&p.l), LG_REPORT_INTERVAL_MAX_MS);
+    EXPECT_EQ(lg_forward_share(&p.l), 1);
 }
 
 namespace {
@@ -203,7 +203,7 @@
         void *handle;
 
         for (;;) {
-            it_turn turn = it_next(&t, now, &handle);
+            it_action turn = it_next(&t, now, &handle);
 
             if (turn == IT_NONE) {
                 return;
@@ -255,7 +255,7 @@
 
     e.run(7 * SECOND);
     EXPECT_LT(e.longest_pass, 200000u);
-    EXPECT_LT(e.longest_wait, IT_WAIT_US + 200000);
+    EXPECT_LT(e.longest_wait, IT_MAX_WAIT_US + 200000);
     /* Refusing costs something too. */
     EXPECT_GT((double)e.begun, 0.6 * 7 * e.most());
     EXPECT_GE(e.begun + e.refused + it_count(&e.t), e.asked);
@@ -292,9 +292,9 @@
 
     EXPECT_TRUE(it_add(&t, 1, &one));
     EXPECT_TRUE(it_add(&t, 1, &two));
-    EXPECT_TRUE(it_drop(&t, &one));
-    EXPECT_FALSE(it_drop(&t, &one));
-    EXPECT_EQ(it_next(&t, 2, &handle), IT_BEGIN);
+    EXPECT_TRUE(it_remove(&t, &one));
+    EXPECT_FALSE(it_remove(&t, &one));
+    EXPECT_EQ(it_next(&t, 2, &handle), IT_START);
     EXPECT_EQ(handle, &two);
     EXPECT_EQ(it_next(&t, 3, &handle), IT_NONE);
     it_free(&t);
--- a/test/slack-test.cc
+++ b/test/slack-test.cc
@@ -5,22 +5,22 @@
 
 TEST(Slack, WorkThatCanWaitLessIsTighter)
 {
-    sl_mix m = {};
+    sl_histogram m = {};
 
-    EXPECT_EQ(sl_tighter(&m, 100), 0);
-    sl_note(&m, 1000, 100, 3);
-    sl_note(&m, 1000, 800, 1);
-    EXPECT_EQ(sl_tighter(&m, 100), 0);
-    EXPECT_DOUBLE_EQ(sl_tighter(&m, 800), 0.75);
-    EXPECT_DOUBLE_EQ(sl_tighter(&m, UINT32_MAX), 1);
+    EXPECT_EQ(sl_more_urgent_share(&m, 100), 0);
+    sl_record(&m, 1000, 100, 3);
+    sl_record(&m, 1000, 800, 1);
+    EXPECT_EQ(sl_more_urgent_share(&m, 100), 0);
+    EXPECT_DOUBLE_EQ(sl_more_urgent_share(&m, 800), 0.75);
+    EXPECT_DOUBLE_EQ(sl_more_urgent_share(&m, UINT32_MAX), 1);
 }
 
 /* What came an hour ago says nothing of now. */
 TEST(Slack, OldWorkFades)
 {
-    sl_mix m = {};
+    sl_histogram m = {};
 
-    sl_note(&m, 1000, 100, 1000);
-    sl_note(&m, 3601000, 800, 1);
-    EXPECT_LT(sl_tighter(&m, 800), 0.01);
+    sl_record(&m, 1000, 100, 1000);
+    sl_record(&m, 3601000, 800, 1);
+    EXPECT_LT(sl_more_urgent_share(&m, 800), 0.01);
 }
--- a/test/world.cc
+++ b/test/world.cc
@@ -294,7 +294,7 @@
     FakeEntry *e = static_cast<FakeEntry *>(ctx);
     FakeCaller *who = static_cast<FakeCaller *>(t->data);
 
-    co_leave(&e->c, e->w->now, who);
+    co_caller_left(&e->c, e->w->now, who);
 }
 
 void
@@ -629,7 +629,7 @@
                     if (f != nullptr) {
                         f->member = false;
                     }
-                    co_refused(&e->c, now, id);
+                    co_agent_dead(&e->c, now, id);
                 });
             }
         });
@@ -982,7 +982,7 @@
         if (e->up && e->id == id) {
             on_entry(e, [this, e, c] {
                 if (c->caller != nullptr && !rl_drop(&e->r, c->caller)) {
-                    co_leave(&e->c, now, c->caller);
+                    co_caller_left(&e->c, now, c->caller);
                 }
                 c->caller = nullptr;
             });
@@ -1009,12 +1009,12 @@
     s.wall_ms = now;
     s.spec = STR("spec");
     s.service = "s";
-    s.attempts = 3;
+    s.max_attempts = 3;
     s.route_name = "r";
     s.route = {1000, 100};
-    s.left_ms = (uint32_t)(c->deadline - now);
+    s.timeout_ms = (uint32_t)(c->deadline - now);
     s.tasks = specs.data();
-    s.count = specs.size();
+    s.task_count = specs.size();
     co_submit(&e->c, now, &s, who);
 }
 
