--- a/coord.c
+++ b/coord.c
@@ -8,21 +8,22 @@
 #include "num.h"
 #include "qpolicy.h"
 
-/* ms that an order may wait at the agent for cores that another entry's run
- * still holds. */
-#define AGENT_WAIT_MS 40U
-/* A run number that the worker calls old is raised by this: more than what
- * the clocks of two entries differ by in ms. */
-#define RUN_LEAP 5000U
-/* Jobs looked at in vain before placing ends: sizes are much alike, so what
- * does not fit now will hardly fit for the next. */
-#define MISSES_MAX 4U
-/* ms that ended jobs are remembered for late copies of a request. */
-#define ENDED_MS 20000U
-/* ms without any worker, after a start or a loss, in which jobs are held: a
- * fleet that comes back from a loss of power is there within half a second,
- * and a late answer is worth more than a refusal. */
-#define HOLD_MS 800U
+/* ms that a run may wait at the agent for cores that another entry's run still
+ * holds. */
+#define AGENT_QUEUE_MS 40U
+/* Added to a run number that the worker rejects as outdated.  Run numbers
+ * start at wall-clock ms, so this exceeds the difference of two entries'
+ * clocks. */
+#define RUN_NUMBER_SKIP 5000U
+/* Jobs that cannot be placed before a placement pass ends: job sizes are
+ * similar, so the following jobs are unlikely to fit either. */
+#define MAX_PLACEMENT_FAILURES 4U
+/* ms for which completed jobs are kept to answer late copies of a request. */
+#define ENDED_RETENTION_MS 20000U
+/* ms without any worker, after a start or a loss, for which jobs are accepted
+ * and held: a fleet that lost power is back within half a second, and a late
+ * answer is worth more than a refusal. */
+#define NO_WORKER_HOLD_MS 800U
 
 void
 co_init(struct coord *c, const struct co_ops *ops, void *ctx, uint64_t seed,
@@ -39,7 +40,7 @@
 /* --- the queue of jobs with waiting tasks --- */
 
 static int
-by_objective(struct co_job *a, struct co_job *b)
+compare_objectives(struct co_job *a, struct co_job *b)
 {
     return a->objective_ms < b->objective_ms ? -1 : 1;
 }
@@ -48,7 +49,7 @@
 enqueue(struct coord *c, struct co_job *j)
 {
     if (!j->queued) {
-        DL_INSERT_INORDER(c->queue, j, by_objective);
+        DL_INSERT_INORDER(c->queue, j, compare_objectives);
         j->queued = true;
     }
 }
@@ -90,7 +91,7 @@
 /* --- messages to agents --- */
 
 static dw_orders *
-batch_of(struct fl_agent *a)
+get_batch(struct fl_agent *a)
 {
     if (a->batch == NULL) {
         a->batch = dw_zero(1, sizeof(*a->batch));
@@ -102,7 +103,7 @@
 static void
 add_stop(struct fl_agent *a, uint64_t job, uint32_t index, uint64_t run)
 {
-    dw_orders *o = batch_of(a);
+    dw_orders *o = get_batch(a);
     dw_run_ref *ref;
 
     o->stops.stops_val = dw_grow(o->stops.stops_val,
@@ -114,7 +115,7 @@
 }
 
 static dw_run_group *
-group_of(dw_orders *o, const struct co_job *j)
+get_run_group(dw_orders *o, const struct co_job *j)
 {
     dw_run_group *g;
 
@@ -138,7 +139,7 @@
 add_run(struct fl_agent *a, const struct co_job *j, uint32_t index)
 {
     const struct co_task *t = &j->tasks[index];
-    dw_run_group *g = group_of(batch_of(a), j);
+    dw_run_group *g = get_run_group(get_batch(a), j);
     dw_run *run;
 
     g->runs.runs_val =
@@ -150,11 +151,11 @@
     run->memory_mb = t->spec.memory_mb;
     run->gpus = t->spec.gpus;
     run->est_ms = t->spec.est_ms;
-    run->wait_ms = AGENT_WAIT_MS;
+    run->wait_ms = AGENT_QUEUE_MS;
 }
 
 static void
-send_beat(struct coord *c, uint64_t now, struct fl_agent *a)
+send_heartbeat(struct coord *c, uint64_t now, struct fl_agent *a)
 {
     dw_msg m;
 
@@ -180,7 +181,7 @@
     fl_sent(a, a->sess.out_seq);
 }
 
-/* --- the end of a job --- */
+/* --- ending a job --- */
 
 static void
 stop_runs(struct coord *c, const struct co_job *j)
@@ -197,7 +198,8 @@
 }
 
 static void
-remember(struct coord *c, uint64_t now, uint64_t id, enum co_outcome how)
+remember_completed(
+    struct coord *c, uint64_t now, uint64_t id, enum co_outcome outcome)
 {
     struct co_ended *e = NULL;
 
@@ -208,7 +210,7 @@
         HASH_ADD(hh, c->ended, id, sizeof(e->id), e);
     }
     e->ended_ms = now;
-    e->outcome = how;
+    e->outcome = outcome;
 }
 
 static void
@@ -225,8 +227,8 @@
 }
 
 static void
-end_job(struct coord *c, uint64_t now, struct co_job *j, enum co_outcome how,
-    const char *reason)
+end_job(struct coord *c, uint64_t now, struct co_job *j,
+    enum co_outcome outcome, const char *reason)
 {
     uint64_t *counts[] = {
         [CO_COMPLETED] = &c->stats.completed,
@@ -236,24 +238,24 @@
     };
     uint32_t retry_ms;
 
-    ++*counts[how];
-    retry_ms = how == CO_NOT_RUN ? qp_retry_after_ms(c, now, j->load) : 0;
+    ++*counts[outcome];
+    retry_ms = outcome == CO_NOT_RUN ? qp_retry_after_ms(c, now, j->load) : 0;
     stop_runs(c, j);
     c->ops->log_job(c->ctx, j, reason);
     while (j->waiters != NULL) {
         struct co_waiter *w = j->waiters;
 
         j->waiters = w->next;
-        c->ops->answer(c->ctx, w->handle, how, reason, retry_ms);
+        c->ops->answer(c->ctx, w->handle, outcome, reason, retry_ms);
         free(w);
     }
-    if (how == CO_COMPLETED) {
-        remember(c, now, j->id, how);
+    if (outcome == CO_COMPLETED) {
+        remember_completed(c, now, j->id, outcome);
     }
     free_job(c, j);
 }
 
-/* Time is up.  It must not be called failed: no task of it has. */
+/* Not CO_FAILED: no task of the job has failed max_attempts times. */
 void
 co_give_up(struct coord *c, uint64_t now, struct co_job *j, const char *reason)
 {
@@ -282,7 +284,7 @@
 }
 
 static uint32_t
-longest(const struct co_submit *s)
+longest_declared_ms(const struct co_submit *s)
 {
     uint32_t ms = 0;
 
@@ -292,9 +294,9 @@
     return ms;
 }
 
-/* Why a job is turned away on arrival; NULL if it is taken. */
+/* Why a job is refused on arrival; NULL if it is accepted. */
 static const char *
-refusal(struct coord *c, uint64_t now, const struct co_submit *s,
+refusal_reason(struct coord *c, uint64_t now, const struct co_submit *s,
     const struct gs_guess *g)
 {
     struct fl_sum sum = fl_sum_up(&c->fleet, now, s->service, 1);
@@ -302,7 +304,7 @@
     if ((uint64_t)g->run_ms * CO_FASTEST_PERCENT / 100 >= s->timeout_ms) {
         return "too_late";
     }
-    if (sum.capacity <= 0 && now - c->last_capacity_ms > HOLD_MS) {
+    if (sum.capacity <= 0 && now - c->last_capacity_ms > NO_WORKER_HOLD_MS) {
         return "no_workers";
     }
     for (size_t i = 0; i < s->task_count; i++) {
@@ -322,7 +324,7 @@
 }
 
 static struct co_service_load *
-load_of(struct coord *c, const char *service)
+get_service_load(struct coord *c, const char *service)
 {
     struct co_service_load *l;
 
@@ -344,7 +346,7 @@
     j->id = s->id;
     j->spec = str_dup(s->spec);
     j->spec_len = s->spec.n;
-    j->load = load_of(c, s->service);
+    j->load = get_service_load(c, s->service);
     j->priority = s->priority;
     j->max_attempts = (uint32_t)num_max(s->max_attempts, 1);
     j->arrived_ms = now;
@@ -358,7 +360,7 @@
     HASH_ADD(hh, c->jobs, id, sizeof(j->id), j);
     for (uint32_t i = 0; i < j->task_count; i++) {
         j->tasks[i].spec = s->tasks[i];
-        /* One time for all tasks of a job: they are much alike. */
+        /* Tasks of one job are similar: one estimate serves all. */
         j->tasks[i].spec.est_ms = g->run_ms;
         j->tasks[i].run = s->wall_ms;
         j->tasks[i].state = CO_DONE;
@@ -373,10 +375,10 @@
 {
     struct co_job *j = find_job(c, s->id);
     struct co_ended *e = NULL;
-    struct gs_seen seen = {longest(s), s->timeout_ms};
+    struct gs_seen seen = {longest_declared_ms(s), s->timeout_ms};
     struct gs_model *model;
     struct gs_guess g;
-    const char *why;
+    const char *reason;
 
     c->stats.submitted++;
     if (j != NULL) {
@@ -392,12 +394,12 @@
     }
     model = gs_model_of(&c->run_times, s->route_name);
     g = gs_times(model, &s->route, &seen);
-    why = refusal(c, now, s, &g);
-    if (why != NULL) {
+    reason = refusal_reason(c, now, s, &g);
+    if (reason != NULL) {
         c->stats.not_run++;
-        c->ops->log_refusal(c->ctx, s, &g, why, co_queued_ms(c, now));
-        c->ops->answer(c->ctx, handle, CO_NOT_RUN, why,
-            qp_retry_after_ms(c, now, load_of(c, s->service)));
+        c->ops->log_refusal(c->ctx, s, &g, reason, co_queued_ms(c, now));
+        c->ops->answer(c->ctx, handle, CO_NOT_RUN, reason,
+            qp_retry_after_ms(c, now, get_service_load(c, s->service)));
         return;
     }
     j = admit(c, now, s, &g, handle);
@@ -452,7 +454,7 @@
     return true;
 }
 
-/* --- what agents say --- */
+/* --- reports of agents --- */
 
 static void
 run_failed(struct coord *c, uint64_t now, struct co_job *j, struct co_task *t)
@@ -481,7 +483,7 @@
     }
 }
 
-/* The run has ended without an outcome, and certainly so. */
+/* The run has certainly ended, without a result. */
 static void
 run_lost(struct coord *c, uint64_t now, struct co_job *j, struct co_task *t)
 {
@@ -495,34 +497,35 @@
 run_not_started(
     struct coord *c, uint64_t now, struct co_job *j, struct co_task *t)
 {
-    t->run += RUN_LEAP;
+    t->run += RUN_NUMBER_SKIP;
     run_lost(c, now, j, t);
 }
 
 static void
-run_bounced(struct coord *c, uint64_t now, struct co_job *j, struct co_task *t)
+run_rejected(
+    struct coord *c, uint64_t now, struct co_job *j, struct co_task *t)
 {
     (void)now;
     c->stats.rejected++;
     set_state(c, j, t, CO_WAITING);
 }
 
-typedef void (*end_fn)(
+typedef void (*outcome_fn)(
     struct coord *c, uint64_t now, struct co_job *j, struct co_task *t);
 
-static const end_fn end_fns[] = {
+static const outcome_fn outcome_handlers[] = {
     [DW_END_DONE] = run_done,
     [DW_END_FAILED] = run_failed,
     [DW_END_STOPPED] = run_lost,
     [DW_END_LOST] = run_lost,
     [DW_END_NOT_RUN] = run_not_started,
-    [DW_END_FULL] = run_bounced,
+    [DW_END_FULL] = run_rejected,
 };
 
-/* What the run took, at the speed that workers usually have. */
+/* Records a run's time, scaled to the usual speed of workers. */
 static void
-note_time(const struct coord *c, const struct fl_agent *a, struct co_job *j,
-    uint32_t ran_ms)
+record_run_time(const struct coord *c, const struct fl_agent *a,
+    struct co_job *j, uint32_t ran_ms)
 {
     uint64_t usual =
         (uint64_t)ran_ms * a->room.speed_permille / num_max(c->fleet.speed, 1);
@@ -532,7 +535,7 @@
 }
 
 static void
-take_end(
+handle_run_end(
     struct coord *c, uint64_t now, struct fl_agent *a, const dw_run_end *end)
 {
     struct co_job *j = find_job(c, end->ref.job);
@@ -546,17 +549,17 @@
     if (t->state == CO_DISPATCHED && t->run == end->ref.run &&
         t->agent == a->id) {
         if (end->how == DW_END_DONE) {
-            note_time(c, a, j, end->ran_ms);
+            record_run_time(c, a, j, end->ran_ms);
         }
-        end_fns[end->how](c, now, j, t);
+        outcome_handlers[end->how](c, now, j, t);
     }
 }
 
 /* --- lost sessions --- */
 
-/* Runs of a session that is over may start again from again_ms on. */
+/* Runs of an ended session may be retried from retry_at_ms on. */
 static void
-lose_runs(struct coord *c, const struct fl_agent *a, uint64_t again_ms)
+mark_runs_lost(struct coord *c, const struct fl_agent *a, uint64_t retry_at_ms)
 {
     struct co_job *j;
 
@@ -566,15 +569,16 @@
 
             if (t->state == CO_DISPATCHED && t->agent == a->id) {
                 set_state(c, j, t, CO_LOST);
-                t->retry_at_ms = again_ms;
+                t->retry_at_ms = retry_at_ms;
             }
         }
     }
 }
 
-/* An agent, or its successor on the same worker, has nothing of ours left. */
+/* The agent, or its successor on the same worker, holds no runs of this entry
+ * any more: lost runs may be retried now. */
 static void
-runs_are_over(struct coord *c, uint64_t now, const struct fl_agent *a)
+release_lost_runs(struct coord *c, uint64_t now, const struct fl_agent *a)
 {
     struct co_job *j;
 
@@ -590,15 +594,15 @@
     }
 }
 
-/* The session fell silent: its agent goes on for a lease at most, then the
- * worker's own lease runs out. */
+/* The agent acts on the session for at most its lease; then it stops the runs,
+ * or the worker's own lease expires. */
 static void
-session_over(struct coord *c, uint64_t now, struct fl_agent *a)
+close_silent_session(struct coord *c, uint64_t now, struct fl_agent *a)
 {
-    uint64_t over = sess_over_at(&a->sess) + RN_STOP_MS + RN_LAPSE_MS;
+    uint64_t ended_ms = sess_over_at(&a->sess) + RN_STOP_MS + RN_LAPSE_MS;
 
     c->ops->log_agent(c->ctx, a, "agent_silent");
-    lose_runs(c, a, num_max(over, now));
+    mark_runs_lost(c, a, num_max(ended_ms, now));
     fl_close(a);
 }
 
@@ -611,7 +615,7 @@
         return;
     }
     c->ops->log_agent(c->ctx, a, "agent_dead");
-    lose_runs(c, a, now + RN_LAPSE_MS);
+    mark_runs_lost(c, a, now + RN_LAPSE_MS);
     fl_close(a);
 }
 
@@ -634,17 +638,17 @@
     }
     fl_room(a, r->head.ack, &r->room);
     if (r->clean) {
-        runs_are_over(c, now, a);
+        release_lost_runs(c, now, a);
     }
     for (u_int i = 0; v == SESS_TAKE && i < r->ends.ends_len; i++) {
-        take_end(c, now, a, &r->ends.ends_val[i]);
+        handle_run_end(c, now, a, &r->ends.ends_val[i]);
     }
 }
 
-/* --- placing --- */
+/* --- placement --- */
 
 static struct fl_need
-need_of(const struct co_job *j, const struct co_task *t)
+task_need(const struct co_job *j, const struct co_task *t)
 {
     struct fl_need need = {j->load->service, t->spec.millicores,
         t->spec.memory_mb, t->spec.gpus, t->spec.est_ms, 0, t->failures > 0,
@@ -653,12 +657,12 @@
     return need;
 }
 
-/* Send one task out; false if no worker has room for it. */
+/* Orders a run of a task; false if no worker has free capacity for it. */
 static bool
 place_task(struct coord *c, uint64_t now, struct co_job *j, uint32_t index)
 {
     struct co_task *t = &j->tasks[index];
-    struct fl_need need = need_of(j, t);
+    struct fl_need need = task_need(j, t);
     struct fl_agent *a;
 
     need.waited_ms = (uint32_t)(now - j->arrived_ms);
@@ -694,24 +698,25 @@
 static void
 place_all(struct coord *c, uint64_t now)
 {
-    struct qp_capacity room = {0};
+    struct qp_capacity capacity = {0};
     struct co_job *j;
     struct co_job *tmp;
-    uint32_t misses = 0;
+    uint32_t failures = 0;
 
-    for (int turn = 0; turn < QP_COUNT; turn++) {
+    for (int cls = 0; cls < QP_COUNT; cls++) {
         DL_FOREACH_SAFE (c->queue, j, tmp) {
-            if (qp_class_of(j, now) != (enum qp_class)turn) {
+            if (qp_class_of(j, now) != (enum qp_class)cls) {
                 continue;
             }
-            qp_update_capacity(&room, c, now, j);
-            if (qp_must_hold_back(&room, now, j)) {
+            qp_update_capacity(&capacity, c, now, j);
+            if (qp_must_hold_back(&capacity, now, j)) {
                 continue;
             }
-            if (!place_job(c, now, j) && ++misses >= MISSES_MAX) {
+            if (!place_job(c, now, j) &&
+                ++failures >= MAX_PLACEMENT_FAILURES) {
                 return;
             }
-            room.load = NULL; /* changed */
+            capacity.load = NULL; /* outdated by the placement */
         }
     }
 }
@@ -731,23 +736,23 @@
         place_all(c, now);
     }
     for (a = c->fleet.agents; a != NULL; a = a->hh.next) {
-        bool tell;
+        bool report;
 
-        /* Agents of one service mostly stand together. */
+        /* Agents of one service are mostly adjacent in the list. */
         if (service == NULL || strcmp(service, a->service) != 0) {
             service = a->service;
             w = qp_demand(c, now, service);
         }
-        tell = qp_must_report_demand(a, now, &w);
-        if (tell || a->batch != NULL) {
+        report = qp_must_report_demand(a, now, &w);
+        if (report || a->batch != NULL) {
             a->want = w;
             a->want_ms = now;
         }
         if (a->batch != NULL) {
             send_batch(c, now, a);
         }
-        else if (tell) {
-            send_beat(c, now, a);
+        else if (report) {
+            send_heartbeat(c, now, a);
         }
     }
 }
@@ -755,25 +760,30 @@
 /* --- runs on slow workers --- */
 
 /*
- * A worker turned slow, or its tasks stand still: what runs there would end
- * far too late.  A run is stopped and begun again elsewhere if that ends it
- * clearly sooner, by as much as estimates are off, and there is room now.
+ * A run on a worker that has become slow or stalled would end far too late.
+ * It is stopped and restarted on another worker if that one has free capacity
+ * and is expected to finish earlier by more than the error of estimates.
  */
-#define MOVE_GAIN_PERCENT 130U
+/* Remaining time on the slow worker, in percent of the time elsewhere. */
+#define MOVE_MIN_GAIN_PERCENT 130U
+/* ms to stop a run and start it elsewhere. */
 #define MOVE_COST_MS 40U
-/* The part of the free room that one entry moves runs into at a time. */
-#define MOVE_SHARE 4
+/* An entry moves runs into this fraction of the free capacity per tick, as
+ * other entries see the same free capacity. */
+#define MOVE_CAPACITY_DIVISOR 4
 
 static bool
-better_elsewhere(const struct co_task *t, const struct fl_agent *a,
+faster_elsewhere(const struct co_task *t, const struct fl_agent *a,
     uint32_t speed, uint64_t now)
 {
-    uint64_t there =
+    uint64_t slow_ms =
         (uint64_t)t->spec.est_ms * 1000 / num_max(a->room.pace_permille, 1);
-    uint64_t left = num_minus(there, now - t->sent_ms);
-    uint64_t again = (uint64_t)t->spec.est_ms * 1000 / num_max(speed, 1);
+    uint64_t remaining_ms = num_minus(slow_ms, now - t->sent_ms);
+    uint64_t elsewhere_ms =
+        (uint64_t)t->spec.est_ms * 1000 / num_max(speed, 1);
 
-    return left * 100 > (again + MOVE_COST_MS) * MOVE_GAIN_PERCENT;
+    return remaining_ms * 100 >
+           (elsewhere_ms + MOVE_COST_MS) * MOVE_MIN_GAIN_PERCENT;
 }
 
 static void
@@ -782,13 +792,13 @@
     for (uint32_t i = 0; i < j->task_count; i++) {
         struct co_task *t = &j->tasks[i];
         struct fl_agent *a = fl_find(&c->fleet, t->agent);
-        struct fl_need need = need_of(j, t);
+        struct fl_need need = task_need(j, t);
 
         need.quick = true;
         need.avoid = t->agent;
         if (t->state != CO_DISPATCHED || t->moving || a == NULL ||
             a->sess.number != t->session || !fl_slow(&c->fleet, a) ||
-            !better_elsewhere(t, a, c->fleet.speed, now) ||
+            !faster_elsewhere(t, a, c->fleet.speed, now) ||
             c->move_budget < (int64_t)need.millicores ||
             fl_pick(&c->fleet, now, &need) == NULL) {
             continue;
@@ -802,13 +812,13 @@
     }
 }
 
-/* --- time --- */
+/* --- timeouts --- */
 
 static void
-tend_session(struct coord *c, uint64_t now, struct fl_agent *a)
+tick_session(struct coord *c, uint64_t now, struct fl_agent *a)
 {
     if (a->live && !sess_live(&a->sess, now)) {
-        session_over(c, now, a);
+        close_silent_session(c, now, a);
     }
     if (a->live) {
         a->silent_ms = 0;
@@ -832,16 +842,16 @@
     }
     if (!a->live && now - a->tried_ms >= FL_OPEN_MS) {
         a->tried_ms = now;
-        send_beat(c, now, a);
+        send_heartbeat(c, now, a);
     }
     else if (a->live && sess_beat_due(&a->sess, now)) {
-        send_beat(c, now, a);
+        send_heartbeat(c, now, a);
     }
 }
 
-/* False if the job has ended. */
+/* False if it ended the job. */
 static bool
-tend_job(struct coord *c, uint64_t now, struct co_job *j)
+tick_job(struct coord *c, uint64_t now, struct co_job *j)
 {
     if (now >= j->deadline_ms) {
         co_give_up(c, now, j, "deadline");
@@ -862,14 +872,14 @@
 }
 
 static void
-forget_ended(struct coord *c, uint64_t now)
+expire_completed(struct coord *c, uint64_t now)
 {
     struct co_ended *e;
     struct co_ended *tmp;
 
     HASH_ITER (hh, c->ended, e, tmp) {
-        if (now - e->ended_ms < ENDED_MS) {
-            break; /* in the order of their ends */
+        if (now - e->ended_ms < ENDED_RETENTION_MS) {
+            break; /* the rest ended later */
         }
         HASH_DEL(c->ended, e);
         free(e);
@@ -880,8 +890,8 @@
 co_tick(struct coord *c, uint64_t now)
 {
     /*
-     * After a freeze the callers have sent their jobs elsewhere, where they
-     * run by now.  Starting lost runs again would make two at a time.
+     * During a freeze the callers have sent their jobs to other entries,
+     * where they run by now.  Retrying lost runs would run a task twice.
      */
     bool paused =
         c->last_tick_ms != 0 && now - c->last_tick_ms > CO_MAX_PAUSE_MS;
@@ -894,14 +904,14 @@
     c->last_tick_ms = now;
     fl_choose(&c->fleet, now);
     fl_learn(&c->fleet, now);
-    /* Other entries see the same room. */
+    /* Other entries see the same free capacity. */
     sum = fl_sum_up(&c->fleet, now, NULL, 1);
-    c->move_budget = sum.free / MOVE_SHARE;
+    c->move_budget = sum.free / MOVE_CAPACITY_DIVISOR;
     if (c->last_capacity_ms == 0 || sum.capacity > 0) {
         c->last_capacity_ms = now;
     }
     HASH_ITER (hh, c->fleet.agents, a, a_tmp) {
-        tend_session(c, now, a);
+        tick_session(c, now, a);
         sess_resend(&a->sess, now, a->id, c->ops->send, c->ctx);
         if (!a->member && !a->live) {
             fl_remove(&c->fleet, a);
@@ -912,14 +922,14 @@
         if (paused) {
             co_give_up(c, now, j, "paused");
         }
-        else if (tend_job(c, now, j)) {
+        else if (tick_job(c, now, j)) {
             move_runs(c, now, j);
         }
     }
-    forget_ended(c, now);
+    expire_completed(c, now);
 }
 
-/* --- the rest --- */
+/* --- release and queries --- */
 
 void
 co_free(struct coord *c)
--- a/coord.h
+++ b/coord.h
@@ -1,10 +1,12 @@
 /*
- * coord - an entry's best-effort jobs, from the caller's request to its answer
+ * coord - coordinates an entry's best-effort jobs, from request to answer
  *
- * The entry that took a best-effort job coordinates it: such a job needs no
- * memory beyond its caller's connection.  It sends each task to an agent with
- * room, and again elsewhere when a run was lost, but never before the earlier
- * run is certainly over.
+ * The entry that accepts a best-effort job coordinates it.  The state of such
+ * a job is not kept beyond its caller's connection.  The entry sends each task
+ * to an agent with free capacity.  When a run is lost, it sends the task to an
+ * agent again, but never before the earlier run has certainly ended.
+ *
+ * All times named now or ..._ms without a span are ms of one steady clock.
  */
 #ifndef COORD_H
 #define COORD_H
@@ -26,105 +28,115 @@
 #endif
 
 #define CO_TASKS_MAX 1024U
-/* ms a frozen entry's jobs are good for; callers have tried elsewhere. */
+/* ms between ticks above which an entry gives up all its jobs: after a longer
+ * pause, their callers have sent them to other entries. */
 #define CO_MAX_PAUSE_MS 900U
-/* ms for which runs may go on that an entry ordered before it died or froze:
- * a session's lease, the stop, the worker's lease; or, of an entry that woke
- * just in time, until it gives them up.  Callers may send a job to another
- * entry after that. */
+/* Upper bound, in ms, on how long runs continue after their entry died or
+ * froze: the session's lease, the time to stop them and the worker's lease;
+ * or, if the entry resumes just in time, CO_MAX_PAUSE_MS until it gives them
+ * up.  After that callers may send a job to another entry. */
 #define CO_ORPHAN_RUNS_MS                                                     \
     (SESS_LEASE_MS + RN_STOP_MS + RN_LAPSE_MS > CO_MAX_PAUSE_MS               \
             ? SESS_LEASE_MS + RN_STOP_MS + RN_LAPSE_MS                        \
             : CO_MAX_PAUSE_MS)
 
 enum co_outcome {
-    CO_COMPLETED, /* every task ended done */
-    CO_FAILED,    /* a task failed as often as it may, or it was cancelled */
-    CO_GAVE_UP,   /* time ran out; parts of it may have run */
-    CO_NOT_RUN    /* nothing of it has run or will */
+    CO_COMPLETED, /* every task succeeded */
+    CO_FAILED,    /* a task failed max_attempts times, or cancelled */
+    CO_GAVE_UP,   /* ended without a result; tasks of it may have run */
+    CO_NOT_RUN    /* no task of it has run or will run */
 };
 
+/* What a task needs. */
 struct co_task_spec {
     uint32_t millicores;
     uint32_t memory_mb;
     uint32_t gpus;
-    uint32_t est_ms;
+    uint32_t est_ms; /* estimated run time */
 };
 
+/* A caller's request to run a job. */
 struct co_submit {
     uint64_t id;
-    uint64_t wall_ms; /* makes run numbers rise over all entries */
-    struct str spec;
-    const char *service; /* whose workers may run it */
+    uint64_t wall_ms;    /* first run number: makes them rise across entries */
+    struct str spec;     /* what to run, for the worker */
+    const char *service; /* only its workers may run the job */
     uint32_t priority;
-    uint32_t max_attempts;  /* runs of a task that may fail */
-    const char *route_name; /* what jobs are alike */
+    uint32_t max_attempts;  /* failed runs of a task that fail the job */
+    const char *route_name; /* jobs of one route have similar run times */
     struct gs_route route;
-    uint32_t timeout_ms;              /* until the caller leaves */
-    const struct co_task_spec *tasks; /* run times as declared */
+    uint32_t timeout_ms;              /* until the caller's deadline */
+    const struct co_task_spec *tasks; /* est_ms as declared by the caller */
     size_t task_count;
 };
 
-enum co_task_state { CO_WAITING, CO_DISPATCHED, CO_LOST, CO_DONE };
+enum co_task_state {
+    CO_WAITING,    /* to be placed */
+    CO_DISPATCHED, /* sent to an agent; may be running */
+    CO_LOST,       /* its session has ended; the run may not have */
+    CO_DONE
+};
 
 struct co_task {
     struct co_task_spec spec;
     enum co_task_state state;
-    uint64_t run;
-    uint64_t agent; /* of the last run */
-    uint64_t session;
-    uint64_t retry_at_ms; /* CO_LOST: when the last run is certainly over */
-    uint64_t sent_ms;
+    uint64_t run;         /* number of the last run; rises with each */
+    uint64_t agent;       /* of the last run */
+    uint64_t session;     /* of the last run */
+    uint64_t retry_at_ms; /* CO_LOST: when the last run has certainly ended */
+    uint64_t sent_ms;     /* when the last run was sent */
     uint32_t failures;
-    uint64_t avoid_agent; /* an agent that failed or held it up; 0: none */
-    bool moving;          /* being stopped, to run elsewhere */
+    uint64_t avoid_agent; /* where it failed or ran too slowly; 0: none */
+    bool moving;          /* being stopped, to run on another worker */
 };
 
+/* A caller that waits for a job's answer. */
 struct co_waiter {
     struct co_waiter *next;
     void *handle;
 };
 
-/* The jobs of one service together. */
+/* The load of all jobs of one service. */
 struct co_service_load {
     char *service;
     uint64_t queued_work; /* estimated millicores x ms of waiting tasks */
-    uint64_t dispatched_millicores; /* of runs under way */
-    struct sl_histogram slack;      /* what waits how long */
-    struct in_flow inflow;          /* millicores x ms that come in time */
+    uint64_t dispatched_millicores; /* of dispatched tasks */
+    struct sl_histogram slack;      /* recent work by slack */
+    struct in_flow inflow;          /* arriving work, in millicores x ms */
     UT_hash_handle hh;
 };
 
+/* A job from its acceptance to its answer. */
 struct co_job {
     uint64_t id;
     struct co_waiter *waiters;
     char *spec;
     size_t spec_len;
-    struct co_service_load *load; /* of its service */
+    struct co_service_load *load; /* of the job's service */
     uint32_t priority;
     uint32_t max_attempts;
     uint64_t arrived_ms;
-    uint64_t objective_ms;
-    uint64_t useful_until_ms; /* an answer later is of no use */
-    uint64_t deadline_ms;
-    uint64_t longest_task_ms; /* estimate of its longest task */
-    struct gs_model *model;   /* of its route; NULL: none */
-    struct gs_seen seen;
-    uint32_t slack_ms;       /* that it could wait when it came */
-    uint32_t longest_run_ms; /* its longest task so far, at usual speed */
-    bool ran_slow;           /* a run was on a slow worker: it tells nothing */
-    bool started;            /* an order of it went out */
-    bool queued;
+    uint64_t objective_ms;    /* when its answer is due */
+    uint64_t useful_until_ms; /* a later answer is of no use */
+    uint64_t deadline_ms;     /* when its caller stops waiting */
+    uint64_t longest_task_ms; /* estimated run time of its longest task */
+    struct gs_model *model;   /* run times of its route; NULL: none */
+    struct gs_seen seen;      /* what the estimate was made from */
+    uint32_t slack_ms;        /* how long it could wait on arrival */
+    uint32_t longest_run_ms;  /* longest run so far, scaled to usual speed */
+    bool ran_slow;            /* a run was on a slow worker: learn nothing */
+    bool started;             /* a run of it has been ordered */
+    bool queued;              /* in coord.queue */
     struct co_task *tasks;
     uint32_t task_count;
     uint32_t done_count;
     uint32_t waiting_count;
-    struct co_job *prev; /* jobs with waiting tasks, most urgent first */
+    struct co_job *prev; /* in coord.queue, by objective */
     struct co_job *next;
     UT_hash_handle hh;
 };
 
-/* A job that ended, for a late copy of its request. */
+/* A completed job, kept to answer late copies of its request. */
 struct co_ended {
     uint64_t id;
     uint64_t ended_ms;
@@ -134,50 +146,52 @@
 
 struct co_ops {
     void (*send)(void *ctx, uint64_t to, const dw_msg *msg);
-    /* The handle must not be used after.  reason is one word. */
-    void (*answer)(void *ctx, void *handle, enum co_outcome how,
+    /* Answers a caller; its handle is not used again.  reason is one word;
+     * retry_ms: ms after which to retry a job that was not run. */
+    void (*answer)(void *ctx, void *handle, enum co_outcome outcome,
         const char *reason, uint32_t retry_ms);
-    /* Lines for whoever asks later what became of a job or a run. */
-    void (*log_job)(void *ctx, const struct co_job *job, const char *text);
+    /* Log what happens to a job, a run or an agent. */
+    void (*log_job)(void *ctx, const struct co_job *job, const char *reason);
     void (*log_refusal)(void *ctx, const struct co_submit *s,
-        const struct gs_guess *g, const char *why, uint64_t waiting_ms);
-    void (*log_run)(
-        void *ctx, const struct co_job *job, uint32_t index, const char *what);
-    void (*log_agent)(void *ctx, const struct fl_agent *a, const char *what);
+        const struct gs_guess *g, const char *reason, uint64_t queued_ms);
+    void (*log_run)(void *ctx, const struct co_job *job, uint32_t index,
+        const char *event);
+    void (*log_agent)(void *ctx, const struct fl_agent *a, const char *event);
 };
 
+/* Counts of jobs up to caller_left, then of runs, since the start. */
 struct co_stats {
     uint64_t submitted;
-    uint64_t attached;
+    uint64_t attached; /* requests for a job that was known already */
     uint64_t completed;
     uint64_t failed;
     uint64_t gave_up;
     uint64_t not_run;
     uint64_t caller_left;
-    uint64_t runs;
+    uint64_t runs; /* ordered */
     uint64_t lost;
-    uint64_t rejected; /* sent to an agent that had no room after all */
+    uint64_t rejected; /* returned by an agent without free capacity */
     uint64_t retried;  /* after a failure */
-    uint64_t moved;    /* stopped on a slow worker */
-    uint64_t widened;  /* jobs that none of the chosen agents could hold */
+    uint64_t moved;    /* stopped on a slow worker to run on another */
+    uint64_t widened;  /* times that no chosen agent could hold a task */
 };
 
+/* An entry's coordinator. */
 struct coord {
     const struct co_ops *ops;
     void *ctx;
     struct fleet fleet;
     struct co_job *jobs;
-    struct co_job *queue;
+    struct co_job *queue; /* jobs with waiting tasks, by objective */
     struct co_ended *ended;
-    struct gs_table run_times;     /* what jobs of each route take */
+    struct gs_table run_times;     /* learned run times, by route */
     struct co_service_load *loads; /* by service */
-    bool has_new_jobs;             /* a job since the last flush */
-    uint32_t report_interval_ms;   /* between an agent's reports on its room */
-    int64_t move_budget;           /* millicores that may be moved this tick */
+    bool has_new_jobs;             /* since the last flush */
+    uint32_t report_interval_ms;   /* between an agent's capacity reports */
+    int64_t move_budget; /* millicores that may be moved in this tick */
     uint64_t last_tick_ms;
-    uint64_t last_capacity_ms; /* when there last was a worker; at first, the
-                                  start */
-    char address[64];          /* where agents reach this entry */
+    uint64_t last_capacity_ms; /* of the last usable worker, or the start */
+    char address[64];          /* at which agents reach this entry */
     uint16_t port;
     struct co_stats stats;
 };
@@ -186,27 +200,31 @@
     uint64_t seed, const char *domain, const char *address, uint16_t port);
 void co_free(struct coord *c);
 
-/* A caller's request.  The answer comes by ops->answer, perhaps at once. */
+/* Accepts or refuses a job.  ops->answer gets the answer, possibly before this
+ * returns.  A request for a known job attaches to it. */
 void co_submit(
     struct coord *c, uint64_t now, const struct co_submit *s, void *handle);
-/* A caller has left; a job that nobody waits for ends at once. */
+/* A caller has disconnected; a job without callers ends at once. */
 void co_caller_left(struct coord *c, uint64_t now, const void *handle);
-/* False if no such job is under way here. */
+/* Cancels a job; false if it is not in progress here. */
 bool co_cancel(struct coord *c, uint64_t now, uint64_t id);
+/* Handles a report of agent from. */
 void co_report(
     struct coord *c, uint64_t now, uint64_t from, const dw_report *r);
-/* The process is dead, as its port refuses. */
+/* An agent's process has died: its port refuses connections. */
 void co_agent_dead(struct coord *c, uint64_t now, uint64_t id);
+/* Handles timeouts, slow workers and overload; to be called regularly. */
 void co_tick(struct coord *c, uint64_t now);
-/* Place what waits and send what was collected. */
+/* Places waiting tasks and sends the collected orders. */
 void co_flush(struct coord *c, uint64_t now);
 
 /* Queries. */
+/* The job is in progress here. */
 bool co_has_job(const struct coord *c, uint64_t id);
 size_t co_job_count(const struct coord *c);
-/* Jobs of which nothing has been sent to a worker. */
+/* Jobs with waiting tasks of which no run has been ordered. */
 size_t co_unstarted_count(const struct coord *c);
-/* Waiting work as time of the whole fleet, in ms. */
+/* Waiting work in ms of the whole fleet's capacity. */
 uint64_t co_queued_ms(const struct coord *c, uint64_t now);
 
 #ifdef __cplusplus
--- a/test/coord-test.cc
+++ b/test/coord-test.cc
@@ -1,4 +1,4 @@
-/* An entry's jobs, step by step. */
+/* Coordination of best-effort jobs by one entry. */
 #include <gtest/gtest.h>
 
 #include <set>
@@ -12,7 +12,7 @@
 struct Callers {
     std::vector<std::pair<void *, co_outcome>> answers;
     std::vector<std::string> reasons;
-    std::set<uint32_t> retries; /* ms, as told */
+    std::set<uint32_t> retries; /* ms */
     std::vector<dw_msg *> sent;
 
     ~Callers()
@@ -24,45 +24,45 @@
 };
 
 void
-co_sent(void *ctx, uint64_t, const dw_msg *m)
+on_send(void *ctx, uint64_t, const dw_msg *m)
 {
     static_cast<Callers *>(ctx)->sent.push_back(msg_clone(m));
 }
 
 void
-co_answered(void *ctx, void *handle, co_outcome how, const char *reason,
+on_answer(void *ctx, void *handle, co_outcome outcome, const char *reason,
     uint32_t retry_ms)
 {
-    static_cast<Callers *>(ctx)->answers.push_back({handle, how});
+    static_cast<Callers *>(ctx)->answers.push_back({handle, outcome});
     static_cast<Callers *>(ctx)->reasons.push_back(reason);
-    if (how == CO_NOT_RUN) {
+    if (outcome == CO_NOT_RUN) {
         static_cast<Callers *>(ctx)->retries.insert(retry_ms);
     }
 }
 
 void
-co_noted(void *, const co_job *, const char *)
+on_log_job(void *, const co_job *, const char *)
 {
 }
 
 void
-co_noted_refusal(void *, const struct co_submit *, const struct gs_guess *,
+on_log_refusal(void *, const struct co_submit *, const struct gs_guess *,
     const char *, uint64_t)
 {
 }
 
 void
-co_noted_run(void *, const co_job *, uint32_t, const char *)
+on_log_run(void *, const co_job *, uint32_t, const char *)
 {
 }
 
 void
-co_noted_agent(void *, const fl_agent *, const char *)
+on_log_agent(void *, const fl_agent *, const char *)
 {
 }
 
-const co_ops callers_ops = {co_sent, co_answered, co_noted, co_noted_refusal,
-    co_noted_run, co_noted_agent};
+const co_ops callers_ops = {
+    on_send, on_answer, on_log_job, on_log_refusal, on_log_run, on_log_agent};
 
 /* An entry with one agent, 3, of 10 cores. */
 struct Entry {
@@ -112,9 +112,9 @@
         co_report(&c, now, 3, &r);
         co_flush(&c, now);
     }
-    /* The agent's worker has so many cores free, as told last. */
+    /* The agent's worker reported this many free millicores. */
     void
-    room(int millicores)
+    set_free(int millicores)
     {
         dw_room r = agent()->room;
 
@@ -122,7 +122,7 @@
         fl_room(agent(), agent()->sess.out_seq, &r);
     }
     void
-    submit(uint64_t id, size_t count, void *handle, uint32_t left = 1500,
+    submit(uint64_t id, size_t count, void *handle, uint32_t timeout_ms = 1500,
         uint32_t run_ms = 100, uint32_t stretch = 1000)
     {
         std::vector<co_task_spec> tasks(count, {1000, 10, 0, run_ms});
@@ -135,13 +135,13 @@
         s.max_attempts = 2;
         s.route_name = "r";
         s.route = {stretch, 100}; /* an objective of 200 ms */
-        s.timeout_ms = left;
+        s.timeout_ms = timeout_ms;
         s.tasks = tasks.data();
         s.task_count = count;
         co_submit(&c, now, &s, handle);
         co_flush(&c, now);
     }
-    /* Jobs are declared twice as long as they take; callers wait for 3 s. */
+    /* Jobs take half their declared time; callers wait for 3 s. */
     void
     learn()
     {
@@ -179,7 +179,7 @@
     EXPECT_EQ(e.callers.answers[0].second, CO_COMPLETED);
 }
 
-TEST(Coord, FailedOnlyAfterAsManyFailuresAsAllowed)
+TEST(Coord, FailedOnlyAfterTheAllowedNumberOfFailures)
 {
     Entry e;
 
@@ -191,9 +191,9 @@
     EXPECT_EQ(e.callers.answers[0].second, CO_FAILED);
 }
 
-/* A caller is told "failed" though nothing failed: the entry woke from a
- * freeze, or time ran out.  Neither is an outcome of the job. */
-TEST(Coord, TimeThatRanOutIsNoFailure)
+/* Guards against reporting a job as failed although no task of it failed,
+ * because its time ran out or the entry resumed after a freeze. */
+TEST(Coord, TimeoutIsNotReportedAsFailure)
 {
     Entry e;
 
@@ -204,7 +204,7 @@
     EXPECT_EQ(e.callers.answers[0].second, CO_GAVE_UP);
 }
 
-TEST(Coord, AfterAPauseEveryJobIsGivenUp)
+TEST(Coord, EveryJobIsGivenUpAfterAPause)
 {
     Entry e;
 
@@ -215,7 +215,7 @@
     EXPECT_EQ(e.callers.answers[0].second, CO_GAVE_UP);
 }
 
-TEST(Coord, ASecondRequestAttachesAndStartsNothing)
+TEST(Coord, SecondRequestAttachesAndStartsNothing)
 {
     Entry e;
     int other;
@@ -225,12 +225,12 @@
     EXPECT_EQ(e.c.stats.runs, 1u);
     e.report({{{5, 0, 51}, DW_END_DONE, 9}});
     EXPECT_EQ(e.callers.answers.size(), 2u);
-    e.submit(5, 1, &caller); /* seconds later */
+    e.submit(5, 1, &caller); /* after the job completed */
     EXPECT_EQ(e.c.stats.runs, 1u);
     EXPECT_EQ(e.callers.answers.size(), 3u);
 }
 
-TEST(Coord, ACallerThatLeavesEndsItsJob)
+TEST(Coord, JobEndsWhenItsLastCallerDisconnects)
 {
     Entry e;
 
@@ -243,9 +243,10 @@
     EXPECT_EQ(co_job_count(&e.c), 0u);
 }
 
-/* A task runs twice: its agent fell silent and the entry started it elsewhere
- * while the silent one, or its worker, still had it. */
-TEST(Coord, ARunOfASilentAgentIsRepeatedOnlyWhenItIsOver)
+/* Guards against running a task twice: its agent stops reporting, and the
+ * entry starts it on another one while the first, or its worker, still runs
+ * it. */
+TEST(Coord, RunOfASilentAgentIsRetriedOnlyAfterItEnded)
 {
     Entry e;
 
@@ -257,7 +258,7 @@
         e.now += 20;
         co_tick(&e.c, e.now);
         if (e.agent()->sess.number != 0 && !e.agent()->live) {
-            e.report({}); /* back, but not clean */
+            e.report({}); /* reconnected, but earlier runs may remain */
         }
         EXPECT_EQ(e.run_of(5), first) << e.now;
     }
@@ -269,7 +270,7 @@
     EXPECT_GT(e.run_of(5), first);
 }
 
-TEST(Coord, RefusedOnArrivalIsTrueAndNamesWhy)
+TEST(Coord, RefusalOnArrivalStartsNothingAndNamesTheReason)
 {
     Entry e;
 
@@ -280,9 +281,9 @@
     EXPECT_EQ(e.c.stats.runs, 0u);
 }
 
-/* Twice the work that the cores can do: served by the oldest objective alone
- * every job is late; those that can still meet theirs go first. */
-TEST(Coord, AtSaturationJobsOnTimeGoBeforeLateOnes)
+/* Guards against making every job late at saturation, which serving jobs by
+ * objective alone does: jobs that can still meet theirs go first. */
+TEST(Coord, JobsOnTimeGoBeforeLateOnesAtSaturation)
 {
     Entry e;
     int late;
@@ -292,7 +293,7 @@
     e.agent()->room.free_millicores = 0;
     fl_room(e.agent(), e.agent()->sess.out_seq, &e.agent()->room);
     e.submit(1, 1, &late);
-    e.now += 150; /* 100 ms of work, objective of 200: too late now */
+    e.now += 150; /* 50 of 200 ms left for 100 ms of work: late */
     e.agent()->sess.fresh_ms = e.now;
     e.submit(2, 1, &fresh);
     EXPECT_EQ(e.c.stats.runs, 0u);
@@ -304,8 +305,8 @@
     EXPECT_EQ(e.run_of(1), 50u);
 }
 
-/* A run on a worker that turned slow is begun again where there is room. */
-TEST(Coord, ARunOnASlowWorkerMoves)
+/* A run on a worker that became slow restarts on one with free capacity. */
+TEST(Coord, RunOnASlowWorkerMoves)
 {
     Entry e;
     dw_run_end stopped;
@@ -329,9 +330,9 @@
     EXPECT_EQ(e.run_of(5), 52u);
 }
 
-/* The one worker that holds a large task is not among the chosen: the task
- * waits until all have been asked, and only then is refused. */
-TEST(Coord, NeverFitsIsSaidWhenAllWereAsked)
+/* The only worker that could hold a task may not be among the chosen ones: the
+ * task waits until all agents have been asked, and is refused only then. */
+TEST(Coord, NeverFitsOnlyAfterAllAgentsWereAsked)
 {
     Entry e;
 
@@ -356,10 +357,10 @@
     EXPECT_EQ(e.callers.reasons[0], "never_fits");
 }
 
-/* Long tasks that find free cores hold them for long; short jobs, which
- * cannot wait, then find none.  While much of the work is short, a long job
- * that can wait leaves some cores free, and takes them when more are. */
-TEST(Coord, AJobThatCanWaitLeavesRoomForTighterOnes)
+/* Long tasks that take the last free cores hold them while short jobs, which
+ * cannot wait, find none.  While much of the work is short, a long job that
+ * can wait leaves some cores free and is placed when more are. */
+TEST(Coord, JobWithSlackLeavesCapacityForMoreUrgentOnes)
 {
     Entry e;
     int others;
@@ -367,31 +368,31 @@
 
     e.agent()->room.millicores = 100000;
     for (uint64_t id = 10; id < 40; id++) {
-        e.room(10000);
+        e.set_free(10000);
         e.submit(id, 1, &others); /* can wait 100 ms */
     }
     uint64_t runs = e.c.stats.runs;
-    e.room(2000);
+    e.set_free(2000);
     e.submit(99, 1, &longer, 9000, 800, 2000); /* can wait 900 ms */
     EXPECT_EQ(e.c.stats.runs, runs);
     e.submit(100, 1, &others);
     EXPECT_EQ(e.c.stats.runs, runs + 1);
-    e.room(10000);
+    e.set_free(10000);
     co_flush(&e.c, e.now);
     EXPECT_EQ(e.c.stats.runs, runs + 2);
 }
 
-/* More comes than the cores can do.  The last in line would wait until their
- * time has run out and be refused then, with their callers waiting in vain:
- * they are refused when they come, the others are kept. */
-TEST(Coord, WhatWillNotGetItsTurnIsRefusedAtOnce)
+/* Guards against jobs that wait under overload until their time has run out,
+ * with their callers waiting in vain: those that cannot be served in time are
+ * refused on arrival, the others are kept. */
+TEST(Coord, JobsThatCannotBeServedInTimeAreRefusedAtOnce)
 {
     Entry e;
 
     e.submit(1, 10, &caller); /* all ten cores, for 100 ms */
-    e.room(0);
+    e.set_free(0);
     for (uint64_t id = 100; id < 300; id++) {
-        e.submit(id, 1, &caller); /* 1500 ms are left: 150 of them fit */
+        e.submit(id, 1, &caller); /* 150 fit into the 1500 ms allowed */
     }
     EXPECT_GT(co_unstarted_count(&e.c), 130u);
     EXPECT_LT(co_unstarted_count(&e.c), 160u);
@@ -402,27 +403,27 @@
     }
 }
 
-/* Guards against turning callers away by an estimate of when they first sent
- * their request, while cores are idle. */
-TEST(Coord, WhereCoresAreFreeACallerThatStillWaitsIsServed)
+/* Guards against refusing callers because of an estimate of when they first
+ * sent their request, while cores are idle. */
+TEST(Coord, StaleRequestIsServedWhereCoresAreFree)
 {
     Entry e;
 
     e.learn();
-    e.submit(99, 1, &caller, 1200); /* sent before, 1800 ms ago */
+    e.submit(99, 1, &caller, 1200); /* estimated: first sent 1800 ms ago */
     EXPECT_EQ(e.c.stats.runs, 51u);
     EXPECT_EQ(e.run_of(99), 51u);
 }
 
-/* Guards against one whose answer is likely of no use keeping cores from
- * others, or its caller waiting. */
-TEST(Coord, WhereCoresAreScarceItIsRefusedAtOnce)
+/* Guards against a job whose answer is likely of no use taking cores from
+ * others, or keeping its caller waiting. */
+TEST(Coord, StaleRequestIsRefusedAtOnceWhereCoresAreScarce)
 {
     Entry e;
 
     e.learn();
     e.submit(98, 10, &caller, 3000);
-    e.room(0);
+    e.set_free(0);
     e.callers.reasons.clear();
     e.submit(99, 1, &caller, 1200);
     ASSERT_EQ(e.callers.reasons.size(), 1u);
@@ -430,13 +431,13 @@
     EXPECT_EQ(e.c.stats.not_run, 1u);
 }
 
-/* Guards against jobs that wait until their callers leave, as an entry without
- * a run of its own told no time of waiting. */
-TEST(Coord, WhatWaitsForOthersRunsIsRefusedAtOnceToo)
+/* Guards against jobs that wait until their callers leave: an entry without
+ * runs of its own did not estimate their waiting time. */
+TEST(Coord, JobsThatWaitForOtherEntriesRunsAreRefusedAtOnce)
 {
     Entry e;
 
-    e.room(0);
+    e.set_free(0);
     for (uint64_t id = 100; id < 200; id++) {
         e.submit(id, 1, &caller);
     }
@@ -445,14 +446,14 @@
     EXPECT_EQ(e.callers.answers.size(), 100 - co_unstarted_count(&e.c));
 }
 
-/* Callers that were refused in one moment come back in one moment, and are
- * refused again, if all are told the same time. */
-TEST(Coord, RefusedCallersAreToldTimesApart)
+/* Guards against callers that are refused together, retry together and are
+ * refused again, as all were given the same retry time. */
+TEST(Coord, RefusedCallersGetDifferentRetryTimes)
 {
     Entry e;
 
     e.submit(1, 10, &caller);
-    e.room(0);
+    e.set_free(0);
     for (uint64_t id = 100; id < 300; id++) {
         e.submit(id, 1, &caller);
     }
@@ -463,9 +464,9 @@
         *e.callers.retries.begin() + *e.callers.retries.begin() / 2);
 }
 
-/* The fleet comes back from the dark: one worker of eleven has answered, the
- * others stand in the store.  Work that the one could not do alone is kept. */
-TEST(Coord, WorkersOnTheirWayBackAreCountedOn)
+/* A fleet recovers from a power loss: one worker of eleven has answered, the
+ * others are known from the store.  Work beyond the one's capacity is kept. */
+TEST(Coord, ReturningWorkersCountAsCapacity)
 {
     Entry e;
 
@@ -474,7 +475,7 @@
     }
     co_tick(&e.c, e.now);
     e.submit(1, 10, &caller);
-    e.room(0);
+    e.set_free(0);
     for (uint64_t id = 100; id < 300; id++) {
         e.submit(id, 1, &caller);
     }
