--- a/qpolicy.c
+++ b/qpolicy.c
@@ -7,28 +7,29 @@
 #include "coord-int.h"
 #include "num.h"
 
-/* The part of the cores that a job leaves free if all other work is tighter
- * than it: some short jobs' tasks, as they come at a time. */
-#define ROOM_LEFT 0.05
-/* An entry's jobs are taken to get this part of the cores at least, where all
- * are held by other entries' runs. */
-#define LEAST_PART 0.05
-/* Times that the work which comes while a job waits is added to its wait. */
-#define WAIT_ROUNDS 8
-/* ms after which refused callers may come back, at the soonest and latest. */
+/* Fraction of the cores that a job leaves free if all other work is more
+ * urgent: enough for the tasks of some short jobs that arrive together. */
+#define RESERVE_FRACTION 0.05
+/* Least fraction of the cores that an entry's jobs are assumed to get, even
+ * where runs of other entries hold all cores. */
+#define MIN_CORE_FRACTION 0.05
+/* Iterations of the wait estimate: work that arrives during the wait makes it
+ * longer, and so more work arrives. */
+#define WAIT_ITERATIONS 8
+/* Bounds, in ms, on the retry time of refused callers, before jitter. */
 #define RETRY_MIN_MS 500U
 #define RETRY_MAX_MS 10000U
-/* ms between telling an agent that something begins or ceases to wait, and of
- * how much it is. */
-#define WANT_SOON_MS 2U
-#define WANT_MS 10U
+/* Least ms between two reports of demand to an agent: if demand appeared or
+ * disappeared, and if only its amount changed. */
+#define DEMAND_CHANGE_MS 2U
+#define DEMAND_AMOUNT_MS 10U
 
 /* --- order --- */
 
 /*
- * With more work than cores, the order of objectives alone makes every job
- * late: the oldest, which have missed theirs, go before those that could
- * still meet it.
+ * With more work than cores, ordering by objective alone makes every job late:
+ * the oldest jobs, which have missed their objective, are placed before those
+ * that could still meet it.
  */
 enum qp_class
 qp_class_of(const struct co_job *j, uint64_t now)
@@ -42,52 +43,54 @@
     return now + co_fastest_ms(j) < j->useful_until_ms ? QP_LATE : QP_STALE;
 }
 
-/* --- room for what will come --- */
+/* --- reserved capacity --- */
 
 void
-qp_update_capacity(struct qp_capacity *room, const struct coord *c,
+qp_update_capacity(struct qp_capacity *capacity, const struct coord *c,
     uint64_t now, const struct co_job *j)
 {
     uint32_t task = j->tasks[0].spec.millicores;
 
-    if (room->load != j->load || room->task_millicores != task) {
-        room->load = j->load;
-        room->task_millicores = task;
-        room->sum = fl_sum_up(&c->fleet, now, j->load->service, task);
+    if (capacity->load != j->load || capacity->task_millicores != task) {
+        capacity->load = j->load;
+        capacity->task_millicores = task;
+        capacity->sum = fl_sum_up(&c->fleet, now, j->load->service, task);
     }
 }
 
-/* Millicores that it leaves free. */
+/* Millicores that the job leaves free. */
 static double
-room_left(const struct fl_sum *sum, uint64_t now, const struct co_job *j)
+reserve_millicores(
+    const struct fl_sum *sum, uint64_t now, const struct co_job *j)
 {
-    enum qp_class turn = qp_class_of(j, now);
+    enum qp_class cls = qp_class_of(j, now);
 
-    if (turn == QP_STARTED) {
+    if (cls == QP_STARTED) {
         return 0;
     }
-    return ROOM_LEFT * (double)sum->capacity *
-           (turn == QP_ON_TIME
+    return RESERVE_FRACTION * (double)sum->capacity *
+           (cls == QP_ON_TIME
                    ? sl_more_urgent_share(&j->load->slack, j->slack_ms)
                    : 1);
 }
 
 bool
 qp_must_hold_back(
-    const struct qp_capacity *room, uint64_t now, const struct co_job *j)
+    const struct qp_capacity *capacity, uint64_t now, const struct co_job *j)
 {
-    return (double)room->sum.free < room_left(&room->sum, now, j);
+    return (double)capacity->sum.free <
+           reserve_millicores(&capacity->sum, now, j);
 }
 
-/* What of a job waits. */
+/* The waiting tasks of a job. */
 struct waiting {
     double work; /* millicores x ms */
     double millicores;
-    uint32_t least; /* millicores of its smallest task; 0: nothing waits */
+    uint32_t smallest; /* millicores of the smallest one; 0: none waits */
 };
 
 static struct waiting
-waiting_of(const struct co_job *j)
+waiting_tasks(const struct co_job *j)
 {
     struct waiting w = {0, 0, 0};
 
@@ -97,9 +100,9 @@
         if (t->state == CO_WAITING) {
             w.work += (double)co_task_work(t);
             w.millicores += t->spec.millicores;
-            w.least = w.least == 0
-                          ? t->spec.millicores
-                          : (uint32_t)num_min(w.least, t->spec.millicores);
+            w.smallest = w.smallest == 0 ? t->spec.millicores
+                                         : (uint32_t)num_min(
+                                               w.smallest, t->spec.millicores);
         }
     }
     return w;
@@ -113,94 +116,100 @@
 
     j->slack_ms = (uint32_t)num_minus(g->objective_ms, g->run_ms);
     if (j->slack_ms == 0) {
-        return; /* it is late already and makes nobody wait */
+        return; /* late already: placed after jobs that are on time */
     }
-    work = waiting_of(j).work;
+    work = waiting_tasks(j).work;
     sl_record(&l->slack, now, j->slack_ms, work);
     in_record(&l->inflow, now, g->objective_ms, work);
 }
 
-/* --- refusing what will not be served --- */
+/* --- load shedding --- */
 
-/* What the jobs of one service can count on, and what of it is taken by those
- * that go before. */
-struct line {
+/* The cores that jobs of one service can expect, and the work ahead of the job
+ * that is looked at. */
+struct backlog {
     struct fl_sum sum;
-    double cores; /* millicores, by usual speed */
-    double work;
-    double millicores;
+    double cores;      /* expected millicores, scaled to usual speed */
+    double work;       /* ahead, in millicores x ms */
+    double millicores; /* of the tasks ahead */
 };
 
-/* Cores that are held by this entry's runs now, free ones, and workers that
- * are on their way back. */
-static struct line
-line_of(const struct coord *c, uint64_t now, const struct co_service_load *l)
+/* Expected cores are those that this entry's runs hold now, the free ones and
+ * those of workers that may be back soon. */
+static struct backlog
+get_backlog(
+    const struct coord *c, uint64_t now, const struct co_service_load *l)
 {
-    struct line line = {{0, 0, 0, 0}, 0, 0, 0};
+    struct backlog backlog = {{0, 0, 0, 0}, 0, 0, 0};
     uint32_t least = 0;
     const struct co_job *j;
 
     for (j = c->queue; j != NULL; j = j->next) {
-        uint32_t own = j->load == l ? waiting_of(j).least : 0;
+        uint32_t smallest = j->load == l ? waiting_tasks(j).smallest : 0;
 
-        if (own != 0 && (least == 0 || own < least)) {
-            least = own;
+        if (smallest != 0 && (least == 0 || smallest < least)) {
+            least = smallest;
         }
     }
-    line.sum = fl_sum_up(&c->fleet, now, l->service, least);
-    line.cores = (double)l->dispatched_millicores * line.sum.pace +
-                 (double)line.sum.free + (double)line.sum.coming;
-    line.cores = fmax(line.cores, LEAST_PART * (double)line.sum.capacity);
-    return line;
+    backlog.sum = fl_sum_up(&c->fleet, now, l->service, least);
+    backlog.cores = (double)l->dispatched_millicores * backlog.sum.pace +
+                    (double)backlog.sum.free + (double)backlog.sum.coming;
+    backlog.cores =
+        fmax(backlog.cores, MIN_CORE_FRACTION * (double)backlog.sum.capacity);
+    return backlog;
 }
 
 /*
- * ms until its turn.  What comes meanwhile with an earlier objective goes
- * before it too.
+ * Estimated ms until the job is placed.  Work that arrives meanwhile with an
+ * earlier objective is placed before it, too.
  */
 static double
-wait_ms(const struct line *line, uint64_t now, const struct co_job *j)
+wait_ms(const struct backlog *backlog, uint64_t now, const struct co_job *j)
 {
-    double room = (double)(line->sum.free + line->sum.coming);
-    double ahead = line->millicores + waiting_of(j).millicores;
+    double capacity = (double)(backlog->sum.free + backlog->sum.coming);
+    double ahead = backlog->millicores + waiting_tasks(j).millicores;
     double objective = (double)j->objective_ms - (double)now;
     double work;
     double wait;
 
-    if (ahead <= room) {
+    if (ahead <= capacity) {
         return 0;
     }
-    work = line->work * fmin(1, (ahead - room) / fmax(line->millicores, 1));
-    wait = work / line->cores;
-    for (int i = 0; i < WAIT_ROUNDS && wait < objective; i++) {
+    work = backlog->work *
+           fmin(1, (ahead - capacity) / fmax(backlog->millicores, 1));
+    wait = work / backlog->cores;
+    for (int i = 0; i < WAIT_ITERATIONS && wait < objective; i++) {
         wait =
             (work + in_work_before(&j->load->inflow, now, objective, wait)) /
-            line->cores;
+            backlog->cores;
     }
     return wait;
 }
 
-/* There is room for it now, and will be for those that it must not delay. */
+/* The job fits now and leaves free what more urgent jobs need. */
 static bool
-fits_beside(const struct line *line, uint64_t now, const struct co_job *j)
+fits_with_reserve(
+    const struct backlog *backlog, uint64_t now, const struct co_job *j)
 {
-    double room = (double)(line->sum.free + line->sum.coming);
+    double capacity = (double)(backlog->sum.free + backlog->sum.coming);
 
-    return room - line->millicores - waiting_of(j).millicores >=
-           room_left(&line->sum, now, j);
+    return capacity - backlog->millicores - waiting_tasks(j).millicores >=
+           reserve_millicores(&backlog->sum, now, j);
 }
 
 static bool
-gets_no_turn(const struct line *line, uint64_t now, const struct co_job *j)
+cannot_be_served(
+    const struct backlog *backlog, uint64_t now, const struct co_job *j)
 {
-    double wait = wait_ms(line, now, j);
+    double wait = wait_ms(backlog, now, j);
     double done = (double)(now + co_fastest_ms(j)) + wait;
 
     switch (qp_class_of(j, now)) {
     case QP_STARTED:
         return false;
     case QP_STALE:
-        return done > (double)j->deadline_ms || !fits_beside(line, now, j);
+        return done > (double)j->deadline_ms ||
+               !fits_with_reserve(backlog, now, j);
     case QP_ON_TIME:
     case QP_LATE:
     case QP_COUNT:
@@ -209,10 +218,10 @@
     return done > (double)num_min(j->deadline_ms, j->useful_until_ms);
 }
 
-/* Those of one kind of turn. */
+/* Refuses jobs of one class and adds the others to the work ahead. */
 static void
-shed(struct coord *c, uint64_t now, enum qp_class turn,
-    const struct co_service_load *l, struct line *line)
+shed_class(struct coord *c, uint64_t now, enum qp_class cls,
+    const struct co_service_load *l, struct backlog *backlog)
 {
     struct co_job *j;
     struct co_job *tmp;
@@ -220,25 +229,25 @@
     DL_FOREACH_SAFE (c->queue, j, tmp) {
         struct waiting w;
 
-        if (j->load != l || qp_class_of(j, now) != turn) {
+        if (j->load != l || qp_class_of(j, now) != cls) {
             continue;
         }
-        if (gets_no_turn(line, now, j)) {
+        if (cannot_be_served(backlog, now, j)) {
             co_give_up(c, now, j, "no_turn");
             continue;
         }
-        w = waiting_of(j);
-        line->work += w.work;
-        line->millicores += w.millicores;
+        w = waiting_tasks(j);
+        backlog->work += w.work;
+        backlog->millicores += w.millicores;
     }
 }
 
 /*
- * When more comes than the cores can do, the last in line would wait until
- * their time has run out, and their callers with them.  How long a job waits
- * can be told from the work ahead of it, the tighter work that comes
- * meanwhile, and the cores; what cannot end in use is refused at once, so
- * that its caller can do something else.
+ * Under overload the last jobs in the queue, and their callers, would wait
+ * until their time has run out.  A job's wait is estimated from the work ahead
+ * of it, the more urgent work that arrives meanwhile, and the cores.  A job
+ * that cannot end while its answer is of use is refused at once, so that its
+ * caller can do something else.
  */
 void
 qp_shed(struct coord *c, uint64_t now)
@@ -246,40 +255,42 @@
     const struct co_service_load *l;
 
     for (l = c->loads; l != NULL; l = l->hh.next) {
-        struct line line;
+        struct backlog backlog;
 
         if (l->queued_work == 0) {
             continue;
         }
-        line = line_of(c, now, l);
-        for (int turn = 0; turn < QP_COUNT && line.cores > 0; turn++) {
-            shed(c, now, (enum qp_class)turn, l, &line);
+        backlog = get_backlog(c, now, l);
+        for (int cls = 0; cls < QP_COUNT && backlog.cores > 0; cls++) {
+            shed_class(c, now, (enum qp_class)cls, l, &backlog);
         }
     }
 }
 
 /*
- * Callers that are refused together would come back together, and be refused
- * again: so each is told another time, from when what waits now has gone.
+ * The retry time is the time until the work that waits now is done, plus up to
+ * as much jitter: callers that are refused together would otherwise retry
+ * together and be refused again.
  */
 uint32_t
 qp_retry_after_ms(
     struct coord *c, uint64_t now, const struct co_service_load *load)
 {
-    struct line line = line_of(c, now, load);
-    double wait = line.cores > 0 ? (double)load->queued_work / line.cores : 0;
-    double chance;
+    struct backlog backlog = get_backlog(c, now, load);
+    double wait =
+        backlog.cores > 0 ? (double)load->queued_work / backlog.cores : 0;
+    double jitter;
 
     c->fleet.seed = mix64(c->fleet.seed, now);
-    chance = (double)(c->fleet.seed & 0xff) / 256.0;
+    jitter = (double)(c->fleet.seed & 0xff) / 256.0;
     wait = fmin(fmax(wait, RETRY_MIN_MS), RETRY_MAX_MS);
-    return (uint32_t)(wait * (1 + chance));
+    return (uint32_t)(wait * (1 + jitter));
 }
 
-/* --- what waits, told to agents --- */
+/* --- demand reported to agents --- */
 
 static void
-add_want(dw_want *w, const struct co_job *j, bool urgent)
+add_demand(dw_want *w, const struct co_job *j, bool urgent)
 {
     for (uint32_t i = 0; i < j->task_count; i++) {
         const struct co_task *t = &j->tasks[i];
@@ -303,29 +314,29 @@
 qp_demand(struct coord *c, uint64_t now, const char *service)
 {
     dw_want w = {0, 0, 0, c->report_interval_ms};
-    struct qp_capacity room = {0};
+    struct qp_capacity capacity = {0};
     const struct co_job *j;
 
     for (j = c->queue; j != NULL; j = j->next) {
         if (strcmp(j->load->service, service) != 0) {
             continue;
         }
-        qp_update_capacity(&room, c, now, j);
-        if (!qp_must_hold_back(&room, now, j)) {
-            add_want(&w, j, qp_class_of(j, now) <= QP_ON_TIME);
+        qp_update_capacity(&capacity, c, now, j);
+        if (!qp_must_hold_back(&capacity, now, j)) {
+            add_demand(&w, j, qp_class_of(j, now) <= QP_ON_TIME);
         }
     }
     return w;
 }
 
-/* Twice as much or half. */
+/* One is more than twice the other. */
 static bool
-is_far(uint32_t a, uint32_t b)
+differs_twofold(uint32_t a, uint32_t b)
 {
     return a > 2 * (uint64_t)b || b > 2 * (uint64_t)a;
 }
 
-/* Agents must hear soon of what begins or ceases to wait, and now and then of
+/* Agents must learn soon that demand appears or disappears, and less urgently
  * how much it is. */
 bool
 qp_must_report_demand(const struct fl_agent *a, uint64_t now, const dw_want *w)
@@ -335,10 +346,11 @@
     }
     if ((a->want.urgent == 0) != (w->urgent == 0) ||
         (a->want.late == 0) != (w->late == 0)) {
-        return now - a->want_ms >= WANT_SOON_MS;
+        return now - a->want_ms >= DEMAND_CHANGE_MS;
     }
-    return now - a->want_ms >= WANT_MS &&
-           (is_far(a->want.urgent, w->urgent) ||
-               is_far(a->want.pause_ms, w->pause_ms) ||
-               is_far(a->want.late, w->late) || a->want.least != w->least);
+    return now - a->want_ms >= DEMAND_AMOUNT_MS &&
+           (differs_twofold(a->want.urgent, w->urgent) ||
+               differs_twofold(a->want.pause_ms, w->pause_ms) ||
+               differs_twofold(a->want.late, w->late) ||
+               a->want.least != w->least);
 }
--- a/qpolicy.h
+++ b/qpolicy.h
@@ -1,17 +1,15 @@
 /*
- * turn - which waiting job is served next, which leaves room, which is refused
+ * qpolicy - queue policy: order, reserved capacity, load shedding, demand
  *
- * What an entry decides while there is more work than cores, apart from
- * sending and answering:
+ * The decisions of an entry while there is more work than cores:
  *
- * - the order of jobs: qp_class_of();
- * - which of them leaves free cores to others that are likely to come:
+ * - the order in which jobs are placed: qp_class_of();
+ * - which jobs leave free cores to more urgent ones that are likely to arrive:
  *   qp_must_hold_back();
- * - which will not get its turn in time and is refused at once: qp_shed();
- * - what is told to agents of what waits: qp_demand(),
- * qp_must_report_demand().
+ * - which jobs cannot be served in time and are refused at once: qp_shed();
+ * - what demand is reported to agents: qp_demand(), qp_must_report_demand().
  *
- * Where a job runs is fleet's to say.
+ * The worker on which a task runs is chosen in fleet.
  */
 #ifndef QPOLICY_H
 #define QPOLICY_H
@@ -22,44 +20,48 @@
 extern "C" {
 #endif
 
-/* In what order jobs are placed while not all can be. */
+/* Placement classes, in the order in which their jobs are placed; within a
+ * class, jobs are placed by objective. */
 enum qp_class {
-    QP_STARTED, /* parts of it hold cores already */
-    QP_ON_TIME,
-    QP_LATE,  /* its objective cannot be met any more */
-    QP_STALE, /* by the estimate its answer is of no use; its caller waits */
+    QP_STARTED, /* a run of it has been ordered already */
+    QP_ON_TIME, /* it can still meet its objective */
+    QP_LATE,    /* it cannot, but its answer is still of use */
+    QP_STALE, /* its answer is likely of no use, but its caller still waits */
     QP_COUNT
 };
 
 enum qp_class qp_class_of(const struct co_job *j, uint64_t now);
 
-/* The fleet's room, for tasks of one size of one service. */
+/* The fleet's capacity for tasks of one size of one service. */
 struct qp_capacity {
-    const struct co_service_load *load; /* NULL: not known */
+    const struct co_service_load
+        *load; /* of the service; NULL: not computed */
     uint32_t task_millicores;
     struct fl_sum sum;
 };
 
-/* Make it the room for this job's tasks. */
+/* Computes the capacity for the job's tasks, unless it is known. */
 void qp_update_capacity(struct qp_capacity *room, const struct coord *c,
     uint64_t now, const struct co_job *j);
-/* It waits until more cores are free, as tighter jobs are likely to come. */
+/* The job waits until more cores are free, as more urgent jobs are likely to
+ * arrive. */
 bool qp_must_hold_back(
     const struct qp_capacity *room, uint64_t now, const struct co_job *j);
 
-/* A job was admitted with this guess: what comes, and how long it can wait. */
+/* Records the slack and work of an admitted job with estimate g, to predict
+ * what will arrive. */
 void qp_record_job(uint64_t now, struct co_job *j, const struct gs_guess *g);
 
-/* Refuse the jobs that will not get their turn in time. */
+/* Refuses the jobs that cannot be served in time. */
 void qp_shed(struct coord *c, uint64_t now);
 
-/* ms after which a caller that is refused now had better come back. */
+/* ms after which a caller that is refused now should retry. */
 uint32_t qp_retry_after_ms(
     struct coord *c, uint64_t now, const struct co_service_load *load);
 
-/* What could not be placed, of one service. */
+/* The unplaced work of one service. */
 dw_want qp_demand(struct coord *c, uint64_t now, const char *service);
-/* The agent has to hear of it now. */
+/* Demand w must be reported to the agent now. */
 bool qp_must_report_demand(
     const struct fl_agent *a, uint64_t now, const dw_want *w);
 
