--- a/qpolicy.c
+++ b/qpolicy.c
@@ -126,7 +126,7 @@
 /* --- load shedding --- */
 
 /* The cores that jobs of one service can expect, and the work ahead of the job
- * that is looked at. */
+ * that is considered. */
 struct backlog {
     struct fl_sum sum;
     double cores;      /* expected millicores, scaled to usual speed */
--- a/qpolicy.h
+++ b/qpolicy.h
@@ -41,12 +41,12 @@
 };
 
 /* Computes the capacity for the job's tasks, unless it is known. */
-void qp_update_capacity(struct qp_capacity *room, const struct coord *c,
+void qp_update_capacity(struct qp_capacity *capacity, const struct coord *c,
     uint64_t now, const struct co_job *j);
 /* The job waits until more cores are free, as more urgent jobs are likely to
  * arrive. */
 bool qp_must_hold_back(
-    const struct qp_capacity *room, uint64_t now, const struct co_job *j);
+    const struct qp_capacity *capacity, uint64_t now, const struct co_job *j);
 
 /* Records the slack and work of an admitted job with estimate g, to predict
  * what will arrive. */
