--- a/rank.c
+++ b/rank.c
@@ -49,7 +49,7 @@
 rk_rank_of(
     struct rk_table *t, uint64_t now, const char *name, const char *domain)
 {
-    struct rk_rank place = {0, 0};
+    struct rk_rank rank = {0, 0};
     struct rk_entry *e;
     struct rk_entry *tmp;
 
@@ -59,9 +59,9 @@
             free(e);
         }
         else if (strcmp(e->name, name) < 0) {
-            place.total++;
-            place.local += strcmp(e->domain, domain) == 0;
+            rank.total++;
+            rank.local += strcmp(e->domain, domain) == 0;
         }
     }
-    return place;
+    return rank;
 }
--- a/test/rank-test.cc
+++ b/test/rank-test.cc
@@ -1,4 +1,4 @@
-/* An entry's place among all entries. */
+/* An entry's rank among all entries. */
 #include <gtest/gtest.h>
 
 #include "rank.h"
@@ -20,7 +20,7 @@
         rk_free(&t);
     }
     rk_rank
-    place(const char *name)
+    rank(const char *name)
     {
         return rk_rank_of(&t, now, name, "kolding");
     }
@@ -28,37 +28,37 @@
 
 } // namespace
 
-TEST(Rank, PlacesFollowNamesAndDomains)
+TEST(Rank, RanksFollowNamesAndDomains)
 {
     Five f;
 
-    EXPECT_EQ(f.place("e1").total, 0u);
-    EXPECT_EQ(f.place("e5").total, 4u);
-    EXPECT_EQ(f.place("e5").local, 2u);
+    EXPECT_EQ(f.rank("e1").total, 0u);
+    EXPECT_EQ(f.rank("e5").total, 4u);
+    EXPECT_EQ(f.rank("e5").local, 2u);
 }
 
-/* Guards against entries that leave half of their sessions, amid load, when
- * others are cut from the store and come back. */
-TEST(Rank, AnEntryThatVanishesForAWhileKeepsTheOthersPlaces)
+/* Guards against entries that close half of their sessions under load when
+ * other entries are cut off from the store and come back. */
+TEST(Rank, TemporarilyAbsentEntryKeepsTheRanksOfOthers)
 {
     Five f;
 
     rk_mark_absent(&f.t, f.now, "e2");
     f.now += 10000;
-    EXPECT_EQ(f.place("e5").total, 4u);
-    rk_mark_absent(&f.t, f.now, nullptr); /* the store is read anew */
+    EXPECT_EQ(f.rank("e5").total, 4u);
+    rk_mark_absent(&f.t, f.now, nullptr); /* the store is read again */
     rk_mark_present(&f.t, "e1", "kolding");
-    EXPECT_EQ(f.place("e5").total, 4u);
+    EXPECT_EQ(f.rank("e5").total, 4u);
     rk_mark_present(&f.t, "e2", "aarhus");
-    EXPECT_EQ(f.place("e5").total, 4u);
+    EXPECT_EQ(f.rank("e5").total, 4u);
 }
 
-TEST(Rank, AnEntryThatStaysAwayIsForgotten)
+TEST(Rank, EntryAbsentForLongIsRemoved)
 {
     Five f;
 
     rk_mark_absent(&f.t, f.now, "e2");
     f.now += RK_KEEP_MS + 1;
-    EXPECT_EQ(f.place("e5").total, 3u);
-    EXPECT_EQ(f.place("e5").local, 2u);
+    EXPECT_EQ(f.rank("e5").total, 3u);
+    EXPECT_EQ(f.rank("e5").local, 2u);
 }
