--- a/slack.c
+++ b/slack.c
@@ -4,9 +4,9 @@
 
 #include "num.h"
 
-/* ms in which half of what came has faded: long enough for a steady part,
- * short enough for another hour of the day. */
-#define HALF_MS 10000.0
+/* Half-life of recorded work in ms: long enough for a steady share, short
+ * enough to follow the load over a day. */
+#define HALF_LIFE_MS 10000.0
 
 static uint32_t
 bucket_of(uint32_t slack_ms)
@@ -22,10 +22,10 @@
 void
 sl_record(struct sl_histogram *m, uint64_t now, uint32_t slack_ms, double work)
 {
-    double kept = exp2(-(double)(now - m->decayed_ms) / HALF_MS);
+    double decay_factor = exp2(-(double)(now - m->decayed_ms) / HALF_LIFE_MS);
 
     for (uint32_t b = 0; b < SL_BUCKETS; b++) {
-        m->work[b] *= kept;
+        m->work[b] *= decay_factor;
     }
     m->decayed_ms = now;
     m->work[bucket_of(slack_ms)] += work;
@@ -35,12 +35,12 @@
 sl_more_urgent_share(const struct sl_histogram *m, uint32_t slack_ms)
 {
     uint32_t own = bucket_of(slack_ms);
-    double tighter = 0;
-    double all = 0;
+    double more_urgent = 0;
+    double total = 0;
 
     for (uint32_t b = 0; b < SL_BUCKETS; b++) {
-        all += m->work[b];
-        tighter += b < own ? m->work[b] : 0;
+        total += m->work[b];
+        more_urgent += b < own ? m->work[b] : 0;
     }
-    return all > 0 ? tighter / all : 0;
+    return total > 0 ? more_urgent / total : 0;
 }
--- a/slack.h
+++ b/slack.h
@@ -1,10 +1,10 @@
 /*
- * slack - how much of the work has less time to spare than a job
+ * slack - share of recent work that is more urgent (has less slack) than a job
  *
- * Tasks are not interrupted.  When long ones find free cores they hold them
- * for long, and short jobs that come meanwhile, and cannot wait, find none
- * though they are few.  So a job that can wait leaves some cores free, the
- * more of the usual work is tighter than it.
+ * Tasks are not preempted.  Long tasks that take all free cores hold them for
+ * long, and short jobs that arrive meanwhile and cannot wait find none, even
+ * if they are few.  So a job with slack leaves some cores free: the more, the
+ * larger the share of recent work that is more urgent.
  *
  * Source: Delgado et al.: Hawk: Hybrid Datacenter Scheduling, USENIX ATC 2015
  * (a part of the cores for short tasks).
@@ -18,21 +18,23 @@
 extern "C" {
 #endif
 
-/* Each holds times up to twice as long as the one before; the last, all. */
+/* Each bucket holds slacks up to twice as long as the one before; the last
+ * holds all longer ones. */
 #define SL_BUCKETS 20U
 
-/* Work that came lately, by the time that it had to spare. */
+/* Recent work by slack, decaying exponentially. */
 struct sl_histogram {
     double work[SL_BUCKETS];
-    uint64_t decayed_ms; /* until when old work has been faded */
+    uint64_t decayed_ms; /* time up to which the work has been decayed */
 };
 
-/* A job came that can wait for slack_ms and takes so much work (in any
- * unit). */
+/* Records the arrival of a job that can wait for slack_ms and takes work (in
+ * any unit). */
 void sl_record(
     struct sl_histogram *m, uint64_t now, uint32_t slack_ms, double work);
 
-/* The part of the work, 0 to 1, that can wait for half of slack_ms at most. */
+/* The share, 0 to 1, of recent work with less slack than slack_ms: that in the
+ * buckets below its own. */
 double sl_more_urgent_share(const struct sl_histogram *m, uint32_t slack_ms);
 
 #ifdef __cplusplus
--- a/test/inflow-test.cc
+++ b/test/inflow-test.cc
@@ -1,11 +1,11 @@
-/* What comes while a job waits. */
+/* Prediction of the work that arrives while a job waits. */
 #include <gtest/gtest.h>
 
 #include "inflow.h"
 
 namespace {
 
-/* 10 units a ms of work that is wanted within 200 ms. */
+/* 10 units of work per ms with an objective of 200 ms. */
 in_flow
 steady()
 {
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST(Inflow, WorkWithAnEarlierObjectiveGoesBefore)
+TEST(Inflow, WorkWithAnEarlierObjectiveCounts)
 {
     in_flow f = steady();
 
@@ -27,15 +27,16 @@
     EXPECT_EQ(in_work_before(&f, 20000, 100, 100), 0);
 }
 
-/* What comes later than 300 ms before its objective is behind it. */
-TEST(Inflow, OnlyForAsLongAsItsObjectiveIsEarlier)
+/* The job's objective is in 500 ms: work with 200 ms that arrives after the
+ * next 300 ms is placed after it. */
+TEST(Inflow, WorkCountsOnlyWhileItsObjectiveIsEarlier)
 {
     in_flow f = steady();
 
     EXPECT_NEAR(in_work_before(&f, 20000, 500, 10000), 3000, 400);
 }
 
-TEST(Inflow, WhatCeasesToComeIsForgotten)
+TEST(Inflow, ArrivalsThatCeaseDecay)
 {
     in_flow f = steady();
 
--- a/test/slack-test.cc
+++ b/test/slack-test.cc
@@ -1,9 +1,9 @@
-/* How much of the work is tighter than a job. */
+/* Share of recent work that is more urgent than a job. */
 #include <gtest/gtest.h>
 
 #include "slack.h"
 
-TEST(Slack, WorkThatCanWaitLessIsTighter)
+TEST(Slack, WorkWithLessSlackIsMoreUrgent)
 {
     sl_histogram m = {};
 
@@ -15,8 +15,8 @@
     EXPECT_DOUBLE_EQ(sl_more_urgent_share(&m, UINT32_MAX), 1);
 }
 
-/* What came an hour ago says nothing of now. */
-TEST(Slack, OldWorkFades)
+/* Work that arrived an hour ago must not count any more. */
+TEST(Slack, OldWorkDecays)
 {
     sl_histogram m = {};
 
