--- a/intake.c
+++ b/intake.c
@@ -5,12 +5,12 @@
 
 #include "str.h"
 
-/* Means are over about so many of the latest. */
-#define MEAN_OF 16.0
+/* Means are over about the latest 16 values. */
+#define MEAN_SAMPLES 16.0
 
 struct it_request {
     void *handle;
-    uint64_t come_us;
+    uint64_t arrived_us;
     struct it_request *prev;
     struct it_request *next;
 };
@@ -32,9 +32,9 @@
 }
 
 static void
-learn(double *mean, uint64_t us)
+update_mean(double *mean, uint64_t us)
 {
-    *mean += ((double)us - *mean) / MEAN_OF;
+    *mean += ((double)us - *mean) / MEAN_SAMPLES;
 }
 
 double
@@ -55,7 +55,7 @@
     }
     r = dw_zero(1, sizeof(*r));
     r->handle = handle;
-    r->come_us = now_us;
+    r->arrived_us = now_us;
     DL_APPEND(t->head, r);
     t->count++;
     return true;
@@ -81,14 +81,14 @@
     struct it_request *r = t->head;
     void *handle = NULL;
 
-    if (r != NULL && now_us - r->come_us > IT_MAX_WAIT_US) {
+    if (r != NULL && now_us - r->arrived_us > IT_MAX_WAIT_US) {
         handle = r->handle;
         remove_request(t, r);
     }
     return handle;
 }
 
-/* The pass has begun all that it will. */
+/* No more requests are started in this pass. */
 static enum it_action
 end_pass(struct intake *t, uint64_t now_us)
 {
@@ -104,16 +104,16 @@
     struct it_request *r = t->head;
 
     if (t->dequeued_us != 0) {
-        learn(&t->start_cost_us, now_us - t->dequeued_us);
+        update_mean(&t->start_cost_us, now_us - t->dequeued_us);
     }
     if (r == NULL) {
         return end_pass(t, now_us);
     }
     if (t->pass_start_us == 0) {
         t->pass_start_us = now_us;
-        /* It has waited since the pass before, so there was no idle time. */
-        if (t->pass_end_us != 0 && r->come_us < t->pass_end_us) {
-            learn(&t->other_cost_us, now_us - t->pass_end_us);
+        /* It has waited since the pass before, so no idle time is included. */
+        if (t->pass_end_us != 0 && r->arrived_us < t->pass_end_us) {
+            update_mean(&t->other_cost_us, now_us - t->pass_end_us);
         }
     }
     else if (now_us - t->pass_start_us >= IT_PASS_BUDGET_US) {
--- a/intake.h
+++ b/intake.h
@@ -1,12 +1,12 @@
 /*
- * intake - requests that have come and wait to be begun
+ * intake - queue of requests that were received but not started
  *
- * Reading a request costs little, beginning it much more.  So requests wait
- * here, and a pass of the loop begins as many as it has time for after the
- * messages, timers and answers of that pass.  One that would wait longer than
- * an entry may keep it is refused when it comes, before its body is looked at;
- * one that has waited longer, as the process got less of the processor than it
- * counted on, is refused when its turn comes.
+ * Reading a request costs little, starting it much more.  So requests wait
+ * here, and each pass of the event loop starts as many as it has time for,
+ * after its messages, timers and answers.  A request whose expected wait is
+ * too long is refused on arrival, before its body is parsed.  One that has
+ * waited too long, as the process got less processor time than expected, is
+ * refused when it reaches the head of the queue.
  *
  * Source: Mogul, Ramakrishnan: Eliminating Receive Livelock in an
  * Interrupt-driven Kernel, ACM TOCS 1997 (quotas, drop early).
@@ -22,44 +22,45 @@
 extern "C" {
 #endif
 
-/* us that a request may wait to be begun. */
+/* us for which a request may wait to be started. */
 #define IT_MAX_WAIT_US 150000U
-/* us of a pass in which requests are begun, at least one in each. */
+/* us of each pass in which requests are started; at least one is. */
 #define IT_PASS_BUDGET_US 20000U
 
 struct it_request;
 
+/* Times are us of one steady clock. */
 struct intake {
-    struct it_request *head;
+    struct it_request *head; /* oldest first */
     size_t count;
-    double
-        start_cost_us; /* what beginning a request takes, mean of the latest */
-    double other_cost_us; /* what the rest of a pass takes, likewise */
-    uint64_t
-        pass_start_us; /* when this pass began to begin requests; 0: not yet */
-    uint64_t dequeued_us; /* when the last was taken; 0: none in this pass */
-    uint64_t pass_end_us;
+    double start_cost_us;   /* mean time to start a request, recently */
+    double other_cost_us;   /* mean time of the rest of a pass, recently */
+    uint64_t pass_start_us; /* of the starts in this pass; 0: not yet */
+    uint64_t dequeued_us;   /* of the last start in this pass; 0: none */
+    uint64_t pass_end_us;   /* of the starts in the pass before */
 };
 
+/* What to do next in a pass. */
 enum it_action {
-    IT_NONE,  /* none waits, or this pass has no time for more */
-    IT_START, /* begin it */
-    IT_REFUSE /* it has waited too long */
+    IT_NONE,  /* no request waits, or the time of this pass is used up */
+    IT_START, /* start the request */
+    IT_REFUSE /* refuse the request: it has waited too long */
 };
 
 void it_free(struct intake *t);
-/* A request has come.  False: refuse it, it would wait too long. */
+/* Adds a request.  False: it would wait too long and must be refused. */
 bool it_add(struct intake *t, uint64_t now_us, void *handle);
-/* Its caller has gone; false if it does not wait here. */
+/* Removes a request whose caller has left; false if it does not wait here. */
 bool it_remove(struct intake *t, const void *handle);
-/* One that has waited too long, to be refused; NULL if there is none. */
+/* Removes and returns a request that has waited too long and must be refused;
+ * NULL if there is none. */
 void *it_pop_expired(struct intake *t, uint64_t now_us);
-/* The next of this pass; called until IT_NONE. */
+/* Removes the next request of this pass; to be called until IT_NONE. */
 enum it_action it_next(struct intake *t, uint64_t now_us, void **handle);
 
 /* Queries. */
 size_t it_count(const struct intake *t);
-/* us that a request which comes now would wait. */
+/* us that a request which arrives now is expected to wait. */
 double it_expected_wait_us(const struct intake *t);
 
 #ifdef __cplusplus
