--- a/lag.c
+++ b/lag.c
@@ -2,46 +2,46 @@
 
 #include <math.h>
 
-/* us in which what was measured fades to a third. */
-#define BUSY_US 200000.0
-#define PROBE_US 200000.0
-#define USUAL_US 20000000.0
-/* Parts of the time busy, above which the process is behind, the lower one if
- * it is slow, as others do better then; and below which it has caught up. */
-#define BEHIND 0.9
-#define BEHIND_SLOW 0.7
+/* Time constants of the moving averages, in us. */
+#define UTILIZATION_DECAY_US 200000.0
+#define PROBE_DECAY_US 200000.0
+#define BASELINE_DECAY_US 20000000.0
+/* Utilization above which the process is overloaded: lower if it is slow, as
+ * other entries do better then; and below which it has caught up. */
+#define OVERLOADED 0.9
+#define OVERLOADED_SLOW 0.7
 #define CAUGHT_UP 0.5
-/* us for which it must be too busy if it is not slow: a burst of messages is
- * over sooner. */
-#define BEHIND_US 300000U
-/* Probes before what is usual is known. */
-#define PROBES_MIN 100U
-/* Times the usual from which on the process is slow, and below which it is
- * not any more. */
-#define SLOW 2.5
-#define USUAL 1.5
-/* us to stay out at least, as the balancer looks once a second and wants two
- * looks; at most, as only load shows whether it would be behind again. */
+/* us for which a process that is not slow must be overloaded before it leaves
+ * the rotation: a burst of messages is over sooner. */
+#define OVERLOADED_MIN_US 300000U
+/* Probes after which the usual time is known. */
+#define MIN_PROBES 100U
+/* Multiple of the usual probe time above which the process is slow, and below
+ * which it is as fast as usual again. */
+#define SLOW_FACTOR 2.5
+#define USUAL_FACTOR 1.5
+/* Least us out of rotation: the load balancer checks once a second and needs
+ * two checks.  Most us for a process that stays slow but has caught up: only
+ * load shows whether it becomes overloaded again. */
 #define OUT_MIN_US 2500000U
 #define OUT_MAX_US 10000000U
-/* us in rotation after a time out, unless the process is slow. */
+/* Least us in rotation after a return, unless the process is slow. */
 #define IN_MIN_US 20000000U
-/* Part of the time busy below which there is time for others. */
-#define HAS_TIME 0.5
-/* Part of the time busy from which on agents are asked to report less, and
- * steps between there and BEHIND, so that they are not told of each little
- * change. */
-#define PAUSE_FROM 0.4
-#define PAUSE_STEPS 4
-
-/* Part of the time busy from which on requests are given to others. */
-#define GIVE_FROM 0.6
-
-/* What is left of 1 after a time. */
+/* Utilization below which there is time for requests of other entries. */
+#define SPARE_TIME_MAX 0.5
+/* Utilization above which agents are asked to report less often, and the
+ * number of steps from there to OVERLOADED, so that not every small change is
+ * sent to them. */
+#define INTERVAL_FROM 0.4
+#define INTERVAL_STEPS 4
+/* Utilization above which requests are forwarded to other entries. */
+#define FORWARD_FROM 0.6
+
+/* What remains of 1 after for_us of exponential decay. */
 static double
-faded(double for_us, double in_us)
+decayed(double for_us, double decay_us)
 {
-    return exp(-for_us / in_us);
+    return exp(-for_us / decay_us);
 }
 
 void
@@ -49,20 +49,23 @@
 {
     l->pass_start_us = now_us;
     if (l->pass_end_us != 0) {
-        l->utilization *= faded((double)(now_us - l->pass_end_us), BUSY_US);
+        l->utilization *=
+            decayed((double)(now_us - l->pass_end_us), UTILIZATION_DECAY_US);
     }
 }
 
-/* The first values count alike. */
+/* Updates a moving average; the first values have equal weight. */
 static void
-learn(double *mean, double value, uint32_t n, double for_us, double in_us)
+update_mean(
+    double *mean, double value, uint32_t n, double for_us, double decay_us)
 {
-    double weight = fmax(1.0 / (n + 1), 1 - faded(for_us, in_us));
+    double weight = fmax(1.0 / (n + 1), 1 - decayed(for_us, decay_us));
 
     *mean += weight * (value - *mean);
 }
 
-/* The usual time is learned while there is nothing unusual. */
+/* The usual time is learned only while the process is neither overloaded nor
+ * slow. */
 void
 lg_record_probe(struct lag *l, uint64_t now_us, uint64_t took_us, size_t items)
 {
@@ -70,9 +73,10 @@
     double item_us = (double)took_us / (double)items;
 
     l->last_probe_us = now_us;
-    learn(&l->recent_us, item_us, l->probe_count, since, PROBE_US);
-    if (!l->out_of_rotation && l->utilization < BEHIND && !lg_is_slow(l)) {
-        learn(&l->baseline_us, l->recent_us, l->probe_count, since, USUAL_US);
+    update_mean(&l->recent_us, item_us, l->probe_count, since, PROBE_DECAY_US);
+    if (!l->out_of_rotation && l->utilization < OVERLOADED && !lg_is_slow(l)) {
+        update_mean(&l->baseline_us, l->recent_us, l->probe_count, since,
+            BASELINE_DECAY_US);
     }
     l->probe_count++;
 }
@@ -81,10 +85,10 @@
 must_leave(const struct lag *l, uint64_t now_us)
 {
     if (lg_is_slow(l)) {
-        return l->utilization > BEHIND_SLOW;
+        return l->utilization > OVERLOADED_SLOW;
     }
     return l->overloaded_since_us != 0 &&
-           now_us - l->overloaded_since_us >= BEHIND_US &&
+           now_us - l->overloaded_since_us >= OVERLOADED_MIN_US &&
            (l->rotation_changed_us == 0 ||
                now_us - l->rotation_changed_us > IN_MIN_US);
 }
@@ -100,13 +104,13 @@
     if (out < OUT_MIN_US || l->utilization > CAUGHT_UP) {
         return false;
     }
-    return out > OUT_MAX_US || l->recent_us < USUAL * l->baseline_us;
+    return out > OUT_MAX_US || l->recent_us < USUAL_FACTOR * l->baseline_us;
 }
 
 static void
-decide(struct lag *l, uint64_t now_us)
+update_rotation(struct lag *l, uint64_t now_us)
 {
-    if (l->utilization < BEHIND) {
+    if (l->utilization < OVERLOADED) {
         l->overloaded_since_us = 0;
     }
     else if (l->overloaded_since_us == 0) {
@@ -127,9 +131,10 @@
     if (l->pass_start_us == 0) {
         return;
     }
-    l->utilization = 1 - faded(pass, BUSY_US) * (1 - l->utilization);
+    l->utilization =
+        1 - decayed(pass, UTILIZATION_DECAY_US) * (1 - l->utilization);
     l->pass_end_us = now_us;
-    decide(l, now_us);
+    update_rotation(l, now_us);
 }
 
 bool
@@ -141,28 +146,29 @@
 bool
 lg_is_slow(const struct lag *l)
 {
-    return l->probe_count >= PROBES_MIN &&
-           l->recent_us > SLOW * l->baseline_us;
+    return l->probe_count >= MIN_PROBES &&
+           l->recent_us > SLOW_FACTOR * l->baseline_us;
 }
 
 bool
 lg_has_spare_time(const struct lag *l)
 {
-    return l->utilization < HAS_TIME;
+    return l->utilization < SPARE_TIME_MAX;
 }
 
-/* How far it is from a part of the time busy to being behind, 0 to 1. */
+/* Position of the utilization between from and OVERLOADED, 0 to 1. */
 static double
-toward_behind(const struct lag *l, double from)
+overload_progress(const struct lag *l, double from)
 {
-    return fmin(fmax(l->utilization - from, 0) / (BEHIND - from), 1);
+    return fmin(fmax(l->utilization - from, 0) / (OVERLOADED - from), 1);
 }
 
 double
 lg_forward_share(const struct lag *l)
 {
-    return l->out_of_rotation && lg_is_slow(l) ? 1
-                                               : toward_behind(l, GIVE_FROM);
+    return l->out_of_rotation && lg_is_slow(l)
+               ? 1
+               : overload_progress(l, FORWARD_FROM);
 }
 
 bool
@@ -179,6 +185,6 @@
 uint32_t
 lg_report_interval_ms(const struct lag *l)
 {
-    return (uint32_t)(PAUSE_STEPS * toward_behind(l, PAUSE_FROM)) *
-           LG_REPORT_INTERVAL_MAX_MS / PAUSE_STEPS;
+    return (uint32_t)(INTERVAL_STEPS * overload_progress(l, INTERVAL_FROM)) *
+           LG_REPORT_INTERVAL_MAX_MS / INTERVAL_STEPS;
 }
--- a/lag.h
+++ b/lag.h
@@ -1,16 +1,17 @@
 /*
- * lag - how far an entry keeps up with what it must read and do
+ * lag - overload detection of an entry
  *
- * A process with a small share of a processor, or one whose machine has turned
- * slow, may be given more than it can do.  Then each pass of its loop gets
- * longer, its sessions fall silent and what it took in is answered too late.
- * Here it measures itself: the part of the time that it spends in passes, and
- * what an item of work that it does anyway takes against what it usually does.
+ * A process with a small share of a processor, or on a machine that has become
+ * slow, may get more work than it can do.  Then the passes of its event loop
+ * get longer, its sessions expire and requests are answered too late.  So the
+ * entry measures itself: its utilization, which is the fraction of time spent
+ * in passes, and the time of a regular item of work (the probe) against the
+ * usual one.
  *
- * An entry that is behind leaves the balancer's rotation.  It comes back when
- * it has caught up and is as fast as usual again.  If it is not slow, it has
- * more to do than it can; then all may have, and none can help the others, so
- * the part of the time that it may be out is bounded.
+ * An overloaded entry leaves the load balancer's rotation.  It returns when it
+ * has caught up and is about as fast as usual.  An entry that is overloaded
+ * but not slow gets too much work; then all entries may, and none can relieve
+ * the others, so the fraction of time that it is out of rotation is bounded.
  *
  * Source: Welsh, Culler, Brewer: SEDA, SOSP 2001 (delay as the signal).
  */
@@ -27,44 +28,45 @@
 
 /* Times are us of one steady clock. */
 struct lag {
-    uint64_t pass_start_us; /* this pass */
-    uint64_t pass_end_us;   /* the pass before; 0: none yet */
-    double utilization;     /* part of the time spent in passes, lately */
+    uint64_t pass_start_us; /* of this pass */
+    uint64_t pass_end_us;   /* of the pass before; 0: none yet */
+    double utilization;     /* recent fraction of time spent in passes */
     uint32_t probe_count;
-    double forward_due; /* requests that should have been given */
-    double recent_us;   /* what an item of the probe takes, lately */
-    double baseline_us; /* and usually */
+    double forward_due; /* requests due to be forwarded, with fraction */
+    double recent_us;   /* recent mean time of an item of the probe */
+    double baseline_us; /* its usual time */
     uint64_t last_probe_us;
     bool out_of_rotation;
-    bool removed_slow;            /* it went out as it was slow */
-    uint64_t rotation_changed_us; /* when it went out or came back last */
-    uint64_t overloaded_since_us; /* since when it is too busy; 0: it is not */
+    bool removed_slow; /* it left the rotation because it was slow */
+    uint64_t rotation_changed_us; /* when it last left or returned; 0: never */
+    uint64_t overloaded_since_us; /* 0: not overloaded */
 };
 
-/* ms between its reports on a changed room that an agent is asked to leave, at
- * the most. */
+/* Longest interval, in ms, that an agent is asked to keep between its reports
+ * of changed capacity. */
 #define LG_REPORT_INTERVAL_MAX_MS 100U
 
 void lg_pass_start(struct lag *l, uint64_t now_us);
 void lg_pass_end(struct lag *l, uint64_t now_us);
-/* A piece of work that is done regularly took this long for so many items. */
+/* Records that a regular piece of work took took_us for so many items. */
 void lg_record_probe(
     struct lag *l, uint64_t now_us, uint64_t took_us, size_t items);
 
-/* A request has come; true if another entry had better begin it. */
+/* Called for each request that arrives; true if another entry should start
+ * it. */
 bool lg_should_forward(struct lag *l);
 
 /* Queries, as of the last pass. */
-/* Out of the balancer's rotation. */
+/* Out of the load balancer's rotation. */
 bool lg_is_out_of_rotation(const struct lag *l);
 /* Far slower than usual. */
 bool lg_is_slow(const struct lag *l);
-/* Less than half of the time busy: requests of others are welcome, and others
- * need not begin ours. */
+/* Utilization is below one half: the entry accepts forwarded requests and does
+ * not need to forward its own. */
 bool lg_has_spare_time(const struct lag *l);
-/* The part of the requests that come which others had better begin. */
+/* Fraction of arriving requests that other entries should start. */
 double lg_forward_share(const struct lag *l);
-/* ms that agents are asked to leave between reports on their room. */
+/* ms that agents are asked to keep between reports of changed capacity. */
 uint32_t lg_report_interval_ms(const struct lag *l);
 
 #ifdef __cplusplus
--- a/test/lag-test.cc
+++ b/test/lag-test.cc
@@ -1,4 +1,4 @@
-/* An entry that gets too little of a processor for what comes. */
+/* Entries that get too little processor time for the requests that arrive. */
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 constexpr uint64_t SECOND = 1000000;
 
-/* Passes of 10 ms in all, of which part is busy; a probe each 20 ms. */
+/* A pass every 10 ms that is busy for a part of it; a probe every 20 ms. */
 struct Process {
     lag l = {};
     uint64_t now = SECOND;
@@ -33,22 +33,22 @@
             now += 10000;
         }
     }
-    /* us until it is in the state, at most 60 s. */
+    /* us until it is out of rotation or back, at most 60 s. */
     uint64_t
     until(bool out, double busy, double probe_us)
     {
-        uint64_t began = now;
+        uint64_t start = now;
 
-        while (lg_is_out_of_rotation(&l) != out && now < began + 60 * SECOND) {
+        while (lg_is_out_of_rotation(&l) != out && now < start + 60 * SECOND) {
             run(10000, busy, probe_us);
         }
-        return now - began;
+        return now - start;
     }
 };
 
 } // namespace
 
-TEST(Lag, AnEntryThatTurnsSlowLeavesBeforeItsCallersFindOut)
+TEST(Lag, EntryThatBecomesSlowLeavesTheRotationSoon)
 {
     Process p;
 
@@ -57,9 +57,9 @@
     EXPECT_LT(p.until(true, 1, 600), SECOND / 2);
 }
 
-/* All entries leave the rotation in a burst, as each has so many jobs that a
- * look at all of them takes long. */
-TEST(Lag, ManyJobsMakeNoEntrySlow)
+/* Guards against all entries leaving the rotation in a burst, as each has so
+ * many jobs that a scan of all of them takes long. */
+TEST(Lag, ManyJobsDoNotMakeAnEntrySlow)
 {
     lag l = {};
     uint64_t now = SECOND;
@@ -77,7 +77,7 @@
     EXPECT_TRUE(lg_is_slow(&l));
 }
 
-TEST(Lag, ASlowEntryWithTimeToSpareStays)
+TEST(Lag, SlowEntryWithSpareTimeStaysInRotation)
 {
     Process p;
 
@@ -86,9 +86,10 @@
     EXPECT_FALSE(lg_is_out_of_rotation(&p.l));
 }
 
-/* It comes back at once, is behind again before it has been seen to be ready,
- * and so on: without requests it keeps up, however slow it is. */
-TEST(Lag, ItIsBackOnlyWhenItIsAsFastAsUsual)
+/* Guards against an entry that returns at once and is overloaded again before
+ * the load balancer has seen it ready, over and over: without requests it
+ * keeps up, however slow it is. */
+TEST(Lag, ReturnsOnlyWhenAsFastAsUsual)
 {
     Process p;
 
@@ -99,7 +100,7 @@
     EXPECT_LT(p.until(false, 0.1, 100), 2 * SECOND);
 }
 
-TEST(Lag, ItIsTriedAgainThoughItNeverGetsAsFastAsItWas)
+TEST(Lag, ReturnsEventuallyEvenIfItStaysSlow)
 {
     Process p;
 
@@ -108,22 +109,22 @@
     EXPECT_LT(p.until(false, 0.1, 600), 12 * SECOND);
 }
 
-/* All entries have too much to do: out of rotation they could not help one
- * another. */
-TEST(Lag, WhereAllHaveTooMuchToDoNoneIsOutForLong)
+/* Guards against entries that leave the rotation although all are overloaded:
+ * they cannot relieve one another. */
+TEST(Lag, NoneIsOutOfRotationForLongIfAllAreOverloaded)
 {
     Process p;
     uint64_t out = 0;
 
     p.run(10 * SECOND, 0.3, 100);
     for (int i = 0; i < 6000; i++) {
-        p.run(10000, 1, 100); /* as those out of rotation get callers too */
+        p.run(10000, 1, 100); /* an entry out of rotation gets callers, too */
         out += lg_is_out_of_rotation(&p.l);
     }
     EXPECT_LT(out, 6000u / 6);
 }
 
-TEST(Lag, ABurstOfMessagesIsNoReasonToLeave)
+TEST(Lag, BurstOfMessagesIsNoReasonToLeaveTheRotation)
 {
     Process p;
 
@@ -132,7 +133,7 @@
     EXPECT_FALSE(lg_is_out_of_rotation(&p.l));
 }
 
-TEST(Lag, ABusyEntryAsksForLessAndGivesMore)
+TEST(Lag, BusyEntryAsksForFewerReportsAndForwardsMore)
 {
     Process p;
 
@@ -150,31 +151,33 @@
 
 namespace {
 
-/* us of processor time: reading a request or sending an answer, beginning a
- * request, and the messages of its runs. */
+/* us of processor time: to read a request or send an answer, to start a
+ * request, and for the messages of its runs. */
 constexpr double READ_US = 20;
-constexpr double BEGIN_US = 30;
+constexpr double START_US = 30;
 constexpr double RUNS_US = 60;
 
-/* An entry that takes requests in as they come, pass after pass. */
-struct SmallEntry {
+/* An entry that reads all requests that have arrived in each pass of its event
+ * loop. */
+struct SlowProcessEntry {
     double share; /* of a processor */
-    double per_s;
+    double requests_per_s;
     intake t = {};
     uint64_t now = SECOND;
-    double next = SECOND;
-    double runs_us = 0; /* due for requests that were begun */
-    std::vector<uint64_t> come;
+    double next_arrival_us = SECOND;
+    double runs_us = 0; /* due for the runs of started requests */
+    std::vector<uint64_t> arrived_us;
     uint64_t longest_pass = 0;
     uint64_t longest_wait = 0;
-    size_t asked = 0;
-    size_t begun = 0;
+    size_t requests = 0;
+    size_t started = 0;
     size_t refused = 0;
 
-    SmallEntry(double share, double per_s) : share(share), per_s(per_s)
+    SlowProcessEntry(double share, double requests_per_s)
+        : share(share), requests_per_s(requests_per_s)
     {
     }
-    ~SmallEntry()
+    ~SlowProcessEntry()
     {
         it_free(&t);
     }
@@ -184,40 +187,40 @@
         now += (uint64_t)(us / share);
     }
     void
-    take_in()
+    read_requests()
     {
-        while (next <= (double)now) {
+        while (next_arrival_us <= (double)now) {
             work(READ_US);
-            come.push_back((uint64_t)next);
-            asked++;
-            next += SECOND / per_s;
-            if (!it_add(&t, now, (void *)come.size())) {
+            arrived_us.push_back((uint64_t)next_arrival_us);
+            requests++;
+            next_arrival_us += SECOND / requests_per_s;
+            if (!it_add(&t, now, (void *)arrived_us.size())) {
                 work(READ_US);
                 refused++;
             }
         }
     }
     void
-    begin_some()
+    start_requests()
     {
         void *handle;
 
         for (;;) {
-            it_action turn = it_next(&t, now, &handle);
+            it_action action = it_next(&t, now, &handle);
 
-            if (turn == IT_NONE) {
+            if (action == IT_NONE) {
                 return;
             }
             longest_wait =
-                std::max(longest_wait, now - come[(size_t)handle - 1]);
-            if (turn == IT_REFUSE) {
+                std::max(longest_wait, now - arrived_us[(size_t)handle - 1]);
+            if (action == IT_REFUSE) {
                 work(READ_US);
                 refused++;
                 continue;
             }
-            work(BEGIN_US);
+            work(START_US);
             runs_us += RUNS_US + READ_US;
-            begun++;
+            started++;
         }
     }
     void
@@ -226,76 +229,76 @@
         uint64_t end = now + for_us;
 
         while (now < end) {
-            uint64_t began = now;
+            uint64_t start = now;
 
             work(runs_us);
             runs_us = 0;
-            begin_some();
-            take_in();
-            longest_pass = std::max(longest_pass, now - began);
+            start_requests();
+            read_requests();
+            longest_pass = std::max(longest_pass, now - start);
             if (it_count(&t) == 0 && runs_us <= 0) {
-                now = std::max(now, (uint64_t)std::ceil(next));
+                now = std::max(now, (uint64_t)std::ceil(next_arrival_us));
             }
         }
     }
     double
-    most() const
+    capacity_per_s() const
     {
-        return share * SECOND / (2 * READ_US + BEGIN_US + RUNS_US);
+        return share * SECOND / (2 * READ_US + START_US + RUNS_US);
     }
 };
 
 } // namespace
 
-/* The entry reads all that comes and answers nothing: one pass of its loop
- * takes seconds, and its sessions end meanwhile. */
-TEST(Intake, MoreThanItCanDoIsRefusedAndTheRestServedInTime)
+/* Guards against an entry that reads all requests and answers none: one pass
+ * of its loop takes seconds, and its sessions expire meanwhile. */
+TEST(Intake, ExcessRequestsAreRefusedAndTheRestServedInTime)
 {
-    SmallEntry e(0.02, 260);
+    SlowProcessEntry e(0.02, 260);
 
     e.run(7 * SECOND);
     EXPECT_LT(e.longest_pass, 200000u);
     EXPECT_LT(e.longest_wait, IT_MAX_WAIT_US + 200000);
-    /* Refusing costs something too. */
-    EXPECT_GT((double)e.begun, 0.6 * 7 * e.most());
-    EXPECT_GE(e.begun + e.refused + it_count(&e.t), e.asked);
+    /* Refusals take processor time, too. */
+    EXPECT_GT((double)e.started, 0.6 * 7 * e.capacity_per_s());
+    EXPECT_GE(e.started + e.refused + it_count(&e.t), e.requests);
 }
 
-TEST(Intake, WhatItCanDoIsNotRefused)
+TEST(Intake, NothingIsRefusedBelowCapacity)
 {
-    SmallEntry e(0.02, 110);
+    SlowProcessEntry e(0.02, 110);
 
     e.run(7 * SECOND);
     EXPECT_EQ(e.refused, 0u);
-    EXPECT_GE(e.begun + it_count(&e.t), e.asked);
+    EXPECT_GE(e.started + it_count(&e.t), e.requests);
 }
 
-TEST(Intake, ABurstThatItCanDoInTimeIsNotRefused)
+TEST(Intake, BurstThatCanBeServedInTimeIsNotRefused)
 {
-    SmallEntry e(0.12, 100);
+    SlowProcessEntry e(0.12, 100);
 
     e.run(SECOND);
     for (size_t i = 0; i < 60; i++) {
-        e.come.push_back(e.now);
-        EXPECT_TRUE(it_add(&e.t, e.now, (void *)e.come.size())) << i;
+        e.arrived_us.push_back(e.now);
+        EXPECT_TRUE(it_add(&e.t, e.now, (void *)e.arrived_us.size())) << i;
     }
     e.run(SECOND);
     EXPECT_EQ(e.refused, 0u);
 }
 
-TEST(Intake, ACallerThatLeavesIsForgotten)
+TEST(Intake, RequestOfACallerThatLeftIsRemoved)
 {
     intake t = {};
-    int one;
-    int two;
+    int first;
+    int second;
     void *handle;
 
-    EXPECT_TRUE(it_add(&t, 1, &one));
-    EXPECT_TRUE(it_add(&t, 1, &two));
-    EXPECT_TRUE(it_remove(&t, &one));
-    EXPECT_FALSE(it_remove(&t, &one));
+    EXPECT_TRUE(it_add(&t, 1, &first));
+    EXPECT_TRUE(it_add(&t, 1, &second));
+    EXPECT_TRUE(it_remove(&t, &first));
+    EXPECT_FALSE(it_remove(&t, &first));
     EXPECT_EQ(it_next(&t, 2, &handle), IT_START);
-    EXPECT_EQ(handle, &two);
+    EXPECT_EQ(handle, &second);
     EXPECT_EQ(it_next(&t, 3, &handle), IT_NONE);
     it_free(&t);
 }
