--- a/coord.c
+++ b/coord.c
@@ -768,8 +768,8 @@
 #define MOVE_MIN_GAIN_PERCENT 130U
 /* ms to stop a run and start it elsewhere. */
 #define MOVE_COST_MS 40U
-/* An entry moves runs into this fraction of the free capacity per tick, as
- * other entries see the same free capacity. */
+/* An entry moves runs into 1 / MOVE_CAPACITY_DIVISOR of the free capacity per
+ * tick, as other entries see the same free capacity. */
 #define MOVE_CAPACITY_DIVISOR 4
 
 static bool
