--- a/qpolicy.h
+++ b/qpolicy.h
@@ -34,8 +34,7 @@
 
 /* The fleet's capacity for tasks of one size of one service. */
 struct qp_capacity {
-    const struct co_service_load
-        *load; /* of the service; NULL: not computed */
+    const struct co_service_load *load; /* NULL: not computed */
     uint32_t task_millicores;
     struct fl_sum sum;
 };
@@ -59,7 +58,7 @@
 uint32_t qp_retry_after_ms(
     struct coord *c, uint64_t now, const struct co_service_load *load);
 
-/* The unplaced work of one service. */
+/* The unplaced work of one service, without jobs that are held back. */
 dw_want qp_demand(struct coord *c, uint64_t now, const char *service);
 /* Demand w must be reported to the agent now. */
 bool qp_must_report_demand(
