--- /dev/null
+++ b/qpolicy.h
@@ -0,0 +1,72 @@
+/*
+ * qpolicy - queue policy: order, reserved capacity, load shedding, demand
+ *
+ * The decisions of an entry while there is more work than cores:
+ *
+ * - the order in which jobs are placed: qp_class_of();
+ * - which jobs leave free cores to more urgent ones that are likely to arrive:
+ *   qp_must_hold_back();
+ * - which jobs cannot be served in time and are refused at once: qp_shed();
+ * - what demand is reported to agents: qp_demand(), qp_must_report_demand().
+ *
+ * The worker on which a task runs is chosen in fleet.
+ */
+#ifndef QPOLICY_H
+#define QPOLICY_H
+
+#include "coord.h"
+
+#ifdef __cplusplus
+extern "C" {
+#endif
+
+/* Placement classes, in the order in which their jobs are placed; within a
+ * class, jobs are placed by objective. */
+enum qp_class {
+    QP_STARTED, /* a run of it has been ordered already */
+    QP_ON_TIME, /* it can still meet its objective */
+    QP_LATE,    /* it cannot, but its answer is still of use */
+    QP_STALE, /* its answer is likely of no use, but its caller still waits */
+    QP_COUNT
+};
+
+enum qp_class qp_class_of(const struct co_job *j, uint64_t now);
+
+/* The fleet's capacity for tasks of one size of one service. */
+struct qp_capacity {
+    const struct co_service_load *load; /* NULL: not computed */
+    uint32_t task_millicores;
+    struct fl_totals sum;
+};
+
+/* Computes the capacity for the job's tasks, unless it is known. */
+void qp_update_capacity(struct qp_capacity *capacity, const struct coord *c,
+    uint64_t now, const struct co_job *j);
+/* The job waits until more cores are free, as more urgent jobs are likely to
+ * arrive. */
+bool qp_must_hold_back(
+    const struct qp_capacity *capacity, uint64_t now, const struct co_job *j);
+
+/* Records the slack and work of an admitted job with estimate g, to predict
+ * what will arrive. */
+void qp_record_job(
+    uint64_t now, struct co_job *j, const struct es_estimate *g);
+
+/* Refuses the jobs that cannot be served in time. */
+void qp_shed(struct coord *c, uint64_t now);
+
+/* ms after which a caller that is refused now should retry. */
+uint32_t qp_retry_after_ms(
+    struct coord *c, uint64_t now, const struct co_service_load *load);
+
+/* The unplaced work of one service, without jobs that are held back. */
+dw_want qp_demand(struct coord *c, uint64_t now, const char *service);
+/* Demand w must be reported to the agent now. */
+bool qp_must_report_demand(
+    const struct fl_agent *a, uint64_t now, const dw_want *w);
+
+#ifdef __cplusplus
+}
+#endif
+
+#endif
