--- a/Makefile
+++ b/Makefile
@@ -15,8 +15,8 @@
 DECIDE = str err act subkey contract view member sync place host job jobadmit jobmove \
 	lend own ownmap front node route sess fleet coord runner agent news guess slack inflow rank turn intake lag relay
 # What carries their actions out.
-IO = log hist proc base64 httpc store frame link web trail back carry api ops metric serve \
-	entryd entrycall entrynews agentd platform/wire platform/kv platform/follow
+IO = log hist proc base64 httpc store frame link web trail backend actexec api ops metric serve \
+	entryd entrycall entrystore agentd platform/wire platform/kv platform/follow
 COMMON = $(DECIDE) conf proto_xdr
 LIBS = -ltirpc -lev -lmicrohttpd -lcurl -lpopt -llog4c -ljansson -lxxhash \
 	-lnettle -lm
--- a/carry.c
+++ b/actexec.c
@@ -1,12 +1,13 @@
+/* Carries out the actions that the node has decided on. */
 #include "daemon.h"
 #include "log.h"
 #include "proc.h"
 
-/* A store call on its way, and when it left. */
+/* A pending call to the store. */
 struct store_call {
     struct daemon *d;
-    uint64_t asked_ms;
-    uint64_t ref;
+    uint64_t sent_ms;
+    uint64_t ref; /* of the action */
 };
 
 static struct store_call *
@@ -15,7 +16,7 @@
     struct store_call *c = dw_zero(1, sizeof(*c));
 
     c->d = d;
-    c->asked_ms = proc_now();
+    c->sent_ms = proc_now();
     c->ref = ref;
     return c;
 }
@@ -27,7 +28,7 @@
     struct daemon *d = c->d;
 
     if (st == STORE_OK) {
-        node_checked(&d->node, proc_now(), c->asked_ms, rev, &d->acts);
+        node_checked(&d->node, proc_now(), c->sent_ms, rev, &d->acts);
     }
     else {
         node_read_failed(&d->node);
@@ -43,7 +44,7 @@
     struct daemon *d = c->d;
 
     if (st == STORE_OK) {
-        node_read(&d->node, proc_now(), c->asked_ms, all, &d->acts);
+        node_read(&d->node, proc_now(), c->sent_ms, all, &d->acts);
     }
     else {
         node_read_failed(&d->node);
@@ -55,7 +56,7 @@
 static void
 on_txn(void *ctx, enum store_status st, uint64_t rev)
 {
-    static const enum txn_status meaning[] = {
+    static const enum txn_status results[] = {
         [STORE_OK] = TXN_OK,
         [STORE_CONFLICT] = TXN_CONFLICT,
         [STORE_DOWN] = TXN_UNKNOWN,
@@ -65,7 +66,7 @@
     struct daemon *d = c->d;
 
     (void)rev;
-    node_txn_done(&d->node, proc_now(), c->ref, meaning[st], &d->acts);
+    node_txn_done(&d->node, proc_now(), c->ref, results[st], &d->acts);
     free(c);
     carry_out(d);
 }
@@ -86,14 +87,14 @@
     const struct host_run *r = host_find(&d->node.host, a->ref);
 
     if (r != NULL) {
-        back_run(d->back, r);
+        backend_run(d->backend, r);
     }
 }
 
 static void
 do_stop(struct daemon *d, struct act *a)
 {
-    back_stop(d->back, a->ref);
+    backend_stop(d->backend, a->ref);
 }
 
 static void
@@ -134,7 +135,7 @@
         a->customer, a->key, a->text);
 }
 
-static void (*const doers[])(struct daemon *d, struct act *a) = {
+static void (*const handlers[])(struct daemon *d, struct act *a) = {
     [ACT_SEND] = do_send,
     [ACT_START] = do_start,
     [ACT_STOP] = do_stop,
@@ -149,13 +150,13 @@
 {
     struct act *a;
 
-    if (d->carrying_out) {
+    if (d->executing) {
         return;
     }
-    d->carrying_out = true;
+    d->executing = true;
     while ((a = acts_take(&d->acts)) != NULL) {
-        doers[a->kind](d, a);
+        handlers[a->kind](d, a);
         act_free(a);
     }
-    d->carrying_out = false;
+    d->executing = false;
 }
--- a/agentd.c
+++ b/agentd.c
@@ -1,6 +1,8 @@
 /*
- * agentd - the agent on the users' platform: carries out what agent and runner
- * decide
+ * agentd - the agent daemon on the users' platform
+ *
+ * Performs the I/O for agent and runner, which make the decisions: calls to
+ * the worker beside this agent, its heartbeats, and messages to entries.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -14,36 +16,37 @@
 #include "proc.h"
 #include "serve.h"
 
-/* To the worker for starts and stops; more wait their turn, a start takes
- * some 2 ms.  Each new connection costs. */
+/* Connections to the worker for starts and stops; further calls are queued, as
+ * a start takes about 2 ms and new connections are expensive. */
 #define WORKER_CONNECTIONS 6U
 #define IDLE_S 30U
-#define BEAT_BODY_MAX 65536U
+#define HEARTBEAT_BODY_MAX 65536U
 
-struct worker {
+/* State of the agent daemon. */
+struct agentd {
     struct serve *s;
     struct agent agent;
-    struct httpc *http;
-    struct httpc *look_http;
-    struct web *announce;
-    char url[300];
-    uint64_t beat_seq;
-    uint64_t beat_born_ms;
-    bool draining_told;
-    struct hist run_ms; /* of runs that ended done */
+    struct httpc *http;      /* starts, stops and quick polls */
+    struct httpc *poll_http; /* long polls */
+    struct web *announce;    /* HTTP server for the worker's heartbeats */
+    char url[300];           /* of the worker */
+    uint64_t heartbeat_seq;  /* of the last heartbeat */
+    uint64_t heartbeat_started_ms; /* start time of the worker that sent it */
+    bool draining_logged;
+    struct hist run_ms; /* of runs that succeeded */
 };
 
 /* --- calls to the worker --- */
 
 struct run_call {
-    struct worker *w;
+    struct agentd *ad;
     struct rn_key key;
-    uint64_t asked_ms;
-    bool quick;
+    uint64_t sent_ms;
+    bool quick; /* a poll that does not wait */
 };
 
 static struct run_call *
-post(struct worker *w, struct httpc *http, const char *path, struct str body,
+post(struct agentd *ad, struct httpc *http, const char *path, struct str body,
     uint32_t timeout_ms, httpc_done_fn done, const struct rn_key *key)
 {
     static const char *const headers[] = {
@@ -52,12 +55,12 @@
     struct httpc_call h = {0};
     char url[400];
 
-    c->w = w;
-    c->asked_ms = proc_now();
+    c->ad = ad;
+    c->sent_ms = proc_now();
     if (key != NULL) {
         c->key = *key;
     }
-    snprintf(url, sizeof(url), "%s/dunlinweir/%s", w->url, path);
+    snprintf(url, sizeof(url), "%s/dunlinweir/%s", ad->url, path);
     h.method = "POST";
     h.url = url;
     h.headers = headers;
@@ -105,22 +108,22 @@
             "job=%016" PRIx64 " task=%" PRIu64 " run=%" PRIu64
             " code=%ld ms=%" PRIu64 " lost=%d body=\"%.*s\"",
             c->key.job, c->key.index, c->key.run, d->code,
-            proc_now() - c->asked_ms, result == RN_START_LOST,
+            proc_now() - c->sent_ms, result == RN_START_LOST,
             (int)num_min(d->body.n, 100), d->body.n > 0 ? d->body.p : "");
     }
-    rn_started(&c->w->agent.runner, proc_now(), &c->key, result,
-        d->status == HTTPC_OK ? wire_clock(d->body) : 0);
+    rn_started(&c->ad->agent.runner, proc_now(), &c->key, result,
+        d->status == HTTPC_OK ? wire_clock_ms(d->body) : 0);
     free(c);
 }
 
 static void
 do_start(void *ctx, const struct rn_run *run, const struct rn_terms *terms)
 {
-    struct worker *w = ctx;
+    struct agentd *ad = ctx;
     struct buf b = {0};
 
     wire_put_start(&b, run, terms);
-    post(w, w->http, "run-start", buf_str(&b), RN_ANSWER_MS, on_started,
+    post(ad, ad->http, "run-start", buf_str(&b), RN_ANSWER_MS, on_started,
         &run->key);
     buf_free(&b);
 }
@@ -130,7 +133,7 @@
 {
     struct run_call *c = ctx;
 
-    rn_stopped(&c->w->agent.runner, proc_now(), &c->key,
+    rn_stopped(&c->ad->agent.runner, proc_now(), &c->key,
         d->status == HTTPC_OK && d->code == 200);
     free(c);
 }
@@ -138,49 +141,49 @@
 static void
 do_stop(void *ctx, const struct rn_key *key, const struct rn_terms *terms)
 {
-    struct worker *w = ctx;
+    struct agentd *ad = ctx;
     struct buf b = {0};
 
     wire_put_stop(&b, key, terms);
-    post(w, w->http, "run-stop", buf_str(&b), RN_ANSWER_MS, on_stopped, key);
+    post(ad, ad->http, "run-stop", buf_str(&b), RN_ANSWER_MS, on_stopped, key);
     buf_free(&b);
 }
 
 static void
-on_looked(void *ctx, const struct httpc_done *d)
+on_polled(void *ctx, const struct httpc_done *d)
 {
     struct run_call *c = ctx;
-    struct wire_look l = {0};
+    struct wire_poll l = {0};
     struct err e = {""};
 
     if (d->status == HTTPC_OK && d->code == 200 &&
-        wire_read_look(&l, d->body, &e) != WIRE_OK) {
+        wire_read_poll(&l, d->body, &e) != WIRE_OK) {
         log_event(LOG_LEVEL_WARN, "look_unreadable", "error=\"%s\"", e.msg);
     }
-    l.look.asked_ms = c->asked_ms;
-    l.look.quick = c->quick;
-    l.look.unreached = d->status == HTTPC_NOT_SENT;
-    rn_looked(&c->w->agent.runner, proc_now(), &l.look);
-    wire_look_free(&l);
+    l.result.asked_ms = c->sent_ms;
+    l.result.quick = c->quick;
+    l.result.unreached = d->status == HTTPC_NOT_SENT;
+    rn_looked(&c->ad->agent.runner, proc_now(), &l.result);
+    wire_poll_free(&l);
     free(c);
 }
 
 static void
-do_look(void *ctx, const struct rn_ask *ask, const struct rn_terms *terms)
+do_poll(void *ctx, const struct rn_ask *ask, const struct rn_terms *terms)
 {
-    struct worker *w = ctx;
+    struct agentd *ad = ctx;
     struct buf b = {0};
     struct run_call *c;
 
-    wire_put_look(&b, ask, terms);
-    c = post(w, ask->quick ? w->http : w->look_http, "hold", buf_str(&b),
+    wire_put_poll(&b, ask, terms);
+    c = post(ad, ask->quick ? ad->http : ad->poll_http, "hold", buf_str(&b),
         ask->quick ? RN_ANSWER_MS : ask->wait_ms + RN_LOOK_MARGIN_MS,
-        on_looked, NULL);
+        on_polled, NULL);
     c->quick = ask->quick;
     buf_free(&b);
 }
 
-static const char *const end_names[] = {
+static const char *const outcome_names[] = {
     [DW_END_DONE] = "done",
     [DW_END_FAILED] = "failed",
     [DW_END_STOPPED] = "stopped",
@@ -198,13 +201,13 @@
 };
 
 static void
-note_end(void *ctx, const struct rn_run *run, dw_end how, uint32_t ran_ms)
+log_run_end(void *ctx, const struct rn_run *run, dw_end how, uint32_t ran_ms)
 {
-    struct worker *w = ctx;
+    struct agentd *ad = ctx;
     bool done = how == DW_END_DONE;
 
     if (done) {
-        hist_add(&w->run_ms, ran_ms);
+        hist_add(&ad->run_ms, ran_ms);
     }
     log_event(done ? LOG_LEVEL_INFO : LOG_LEVEL_WARN,
         done                 ? "run_done"
@@ -212,9 +215,9 @@
                              : "run_ended",
         "job=%016" PRIx64 " task=%" PRIu64 " run=%" PRIu64
         " how=%s state=%s waited_ms=%" PRIu64 " ran_ms=%u est_ms=%u pace=%u",
-        run->key.job, run->key.index, run->key.run, end_names[how],
+        run->key.job, run->key.index, run->key.run, outcome_names[how],
         state_names[run->state], run->sent_ms - run->come_ms, ran_ms,
-        run->est_ms, w->agent.runner.pace_permille);
+        run->est_ms, ad->agent.runner.pace_permille);
 }
 
 /* --- entries --- */
@@ -222,39 +225,39 @@
 static void
 do_send(void *ctx, uint64_t to, const dw_msg *m)
 {
-    struct worker *w = ctx;
+    struct agentd *ad = ctx;
 
-    link_send(w->s->link, to, m);
+    link_send(ad->s->link, to, m);
 }
 
 static void
 do_reconnect(void *ctx, uint64_t to)
 {
-    struct worker *w = ctx;
+    struct agentd *ad = ctx;
 
-    link_drop(w->s->link, to);
+    link_drop(ad->s->link, to);
 }
 
 static void
-note_session(void *ctx, uint64_t entry, const char *what, uint64_t silent_ms)
+log_session(void *ctx, uint64_t entry, const char *what, uint64_t silent_ms)
 {
     (void)ctx;
     log_event(LOG_LEVEL_INFO, what, "entry=%016" PRIx64 " silent_ms=%" PRIu64,
         entry, silent_ms);
 }
 
-static const struct ag_ops ag_ops = {{do_start, do_stop, do_look, NULL},
-    do_send, do_reconnect, note_end, note_session};
+static const struct ag_ops ag_ops = {{do_start, do_stop, do_poll, NULL},
+    do_send, do_reconnect, log_run_end, log_session};
 
 static void
-note_address(struct worker *w, uint64_t from, const dw_orders *o)
+update_peer_address(struct agentd *ad, uint64_t from, const dw_orders *o)
 {
     struct sv_peer *p;
 
     if (o->address.dw_bytes_len == 0) {
         return;
     }
-    p = sv_peer(w->s, from, true);
+    p = sv_peer(ad->s, from, true);
     str_copy(p->addr, sizeof(p->addr), str_bytes(&o->address));
     p->port = (uint16_t)o->port;
 }
@@ -262,54 +265,58 @@
 static void
 agent_message(struct serve *s, uint64_t now, uint64_t from, const dw_msg *m)
 {
-    struct worker *w = s->state;
+    struct agentd *ad = s->state;
 
     if (m->type == DW_ORDERS) {
-        note_address(w, from, &m->dw_msg_u.orders);
-        ag_orders(&w->agent, now, from, &m->dw_msg_u.orders);
+        update_peer_address(ad, from, &m->dw_msg_u.orders);
+        ag_orders(&ad->agent, now, from, &m->dw_msg_u.orders);
     }
 }
 
 static void
 agent_refused(struct serve *s, uint64_t now, uint64_t id)
 {
-    struct worker *w = s->state;
+    struct agentd *ad = s->state;
 
-    ag_refused(&w->agent, now, id);
+    ag_refused(&ad->agent, now, id);
 }
 
-/* --- what the worker says of itself --- */
+/* --- heartbeats of the worker --- */
 
 static void
-take_beat(struct worker *w, uint64_t now, const struct wire_beat *b)
+handle_heartbeat(
+    struct agentd *ad, uint64_t now, const struct wire_heartbeat *b)
 {
-    if (b->born_ms < w->agent.runner.born_ms ||
-        (b->born_ms == w->beat_born_ms && b->seq <= w->beat_seq)) {
-        return; /* held up on its way, perhaps of a life before */
+    if (b->started_ms < ad->agent.runner.born_ms ||
+        (b->started_ms == ad->heartbeat_started_ms &&
+            b->seq <= ad->heartbeat_seq)) {
+        return; /* delayed, or from an earlier incarnation of the worker */
     }
-    w->beat_born_ms = b->born_ms;
-    w->beat_seq = b->seq;
-    if (!w->agent.runner.have_room || b->born_ms != w->agent.runner.born_ms) {
+    ad->heartbeat_started_ms = b->started_ms;
+    ad->heartbeat_seq = b->seq;
+    if (!ad->agent.runner.have_room ||
+        b->started_ms != ad->agent.runner.born_ms) {
         log_event(LOG_LEVEL_INFO, "worker_room",
             "millicores=%u memory_mb=%u gpus=%u born=%" PRIu64, b->millicores,
-            b->memory_mb, b->gpus, b->born_ms);
+            b->memory_mb, b->gpus, b->started_ms);
     }
-    rn_room(&w->agent.runner, now, b->millicores, b->memory_mb, b->gpus,
-        b->born_ms);
-    rn_draining(&w->agent.runner, now, b->draining, b->leaves, b->left_ms);
-    if (b->draining != w->draining_told) {
-        w->draining_told = b->draining;
+    rn_room(&ad->agent.runner, now, b->millicores, b->memory_mb, b->gpus,
+        b->started_ms);
+    rn_draining(
+        &ad->agent.runner, now, b->draining, b->has_left_ms, b->left_ms);
+    if (b->draining != ad->draining_logged) {
+        ad->draining_logged = b->draining;
         log_event(LOG_LEVEL_INFO,
             b->draining ? "worker_draining" : "worker_ready",
             "left_ms=%" PRIu64, b->left_ms);
     }
 }
 
-#define BEAT_PATH "/dunlinweir/Instances.Heartbeat/"
-#define LEAVE_PATH "/dunlinweir/Instances.Deregister/"
+#define HEARTBEAT_PATH "/dunlinweir/Instances.Heartbeat/"
+#define DEREGISTER_PATH "/dunlinweir/Instances.Deregister/"
 
 static bool
-begins(const char *z, const char *prefix)
+has_prefix(const char *z, const char *prefix)
 {
     return strncmp(z, prefix, strlen(prefix)) == 0;
 }
@@ -317,25 +324,25 @@
 static void
 on_announce(void *ctx, struct web_req *r)
 {
-    struct worker *w = ctx;
-    struct wire_beat b;
+    struct agentd *ad = ctx;
+    struct wire_heartbeat b;
     struct err e = {""};
 
-    if (begins(web_path(r), LEAVE_PATH)) {
+    if (has_prefix(web_path(r), DEREGISTER_PATH)) {
         log_event(LOG_LEVEL_INFO, "worker_left", "path=%s", web_path(r));
-        rn_draining(&w->agent.runner, proc_now(), true, true, 0);
+        rn_draining(&ad->agent.runner, proc_now(), true, true, 0);
         web_reply(r, 200, "application/json", STR("{}"), 0);
     }
-    else if (!begins(web_path(r), BEAT_PATH)) {
+    else if (!has_prefix(web_path(r), HEARTBEAT_PATH)) {
         web_reply(r, 404, "application/json", STR("{}"), 0);
     }
-    else if (wire_read_beat(&b, web_body(r), &e) != WIRE_OK) {
+    else if (wire_read_heartbeat(&b, web_body(r), &e) != WIRE_OK) {
         log_event(
             LOG_LEVEL_WARN, "announcement_unreadable", "error=\"%s\"", e.msg);
         web_reply(r, 400, "application/json", STR("{}"), 0);
     }
     else {
-        take_beat(w, proc_now(), &b);
+        handle_heartbeat(ad, proc_now(), &b);
         web_reply(r, 200, "application/json", STR("{}"), 0);
     }
 }
@@ -352,20 +359,20 @@
 static int
 agent_open(struct serve *s, struct err *e)
 {
-    struct worker *w = dw_zero(1, sizeof(*w));
+    struct agentd *ad = dw_zero(1, sizeof(*ad));
     struct conf_endpoint at;
-    struct web_cfg cfg = {at.addr, 0, 64, BEAT_BODY_MAX, IDLE_S};
-
-    s->state = w;
-    w->s = s;
-    snprintf(w->url, sizeof(w->url), "http://%s", s->conf->platform.worker);
-    w->http = httpc_new(s->loop, WORKER_CONNECTIONS);
-    w->look_http = httpc_new(s->loop, 1);
-    ag_init(&w->agent, proc_now(), &ag_ops, w);
+    struct web_cfg cfg = {at.addr, 0, 64, HEARTBEAT_BODY_MAX, IDLE_S};
+
+    s->state = ad;
+    ad->s = s;
+    snprintf(ad->url, sizeof(ad->url), "http://%s", s->conf->platform.worker);
+    ad->http = httpc_new(s->loop, WORKER_CONNECTIONS);
+    ad->poll_http = httpc_new(s->loop, 1);
+    ag_init(&ad->agent, proc_now(), &ag_ops, ad);
     conf_endpoint(&at, s->conf->platform.announce);
     cfg.port = at.port;
-    return web_open(&w->announce, s->loop, &cfg, on_announce, on_announce_gone,
-               w, e) == WEB_OK
+    return web_open(&ad->announce, s->loop, &cfg, on_announce,
+               on_announce_gone, ad, e) == WEB_OK
                ? 0
                : -1;
 }
@@ -373,66 +380,66 @@
 static void
 agent_close(struct serve *s)
 {
-    struct worker *w = s->state;
+    struct agentd *ad = s->state;
 
-    if (w == NULL) {
+    if (ad == NULL) {
         return;
     }
-    if (w->announce != NULL) {
-        web_close(w->announce);
+    if (ad->announce != NULL) {
+        web_close(ad->announce);
     }
-    httpc_free(w->http);
-    httpc_free(w->look_http);
-    ag_free(&w->agent);
-    free(w);
+    httpc_free(ad->http);
+    httpc_free(ad->poll_http);
+    ag_free(&ad->agent);
+    free(ad);
 }
 
 static void
 agent_tick(struct serve *s, uint64_t now)
 {
-    struct worker *w = s->state;
+    struct agentd *ad = s->state;
 
-    ag_tick(&w->agent, now);
+    ag_tick(&ad->agent, now);
 }
 
 static void
 agent_flush(struct serve *s, uint64_t now)
 {
-    struct worker *w = s->state;
+    struct agentd *ad = s->state;
 
-    ag_flush(&w->agent, now);
+    ag_flush(&ad->agent, now);
 }
 
 static void
 agent_leave(struct serve *s, uint64_t now)
 {
-    struct worker *w = s->state;
+    struct agentd *ad = s->state;
 
-    ag_leave(&w->agent, now);
+    ag_leave(&ad->agent, now);
 }
 
 static bool
 agent_done(struct serve *s, uint64_t now)
 {
-    struct worker *w = s->state;
+    struct agentd *ad = s->state;
 
-    return ag_done(&w->agent, now);
+    return ag_done(&ad->agent, now);
 }
 
 static void
-agent_woke(struct serve *s, uint64_t now, uint64_t slept_ms)
+agent_resumed(struct serve *s, uint64_t now, uint64_t paused_ms)
 {
-    /* Before anything that waits unread: the sessions' leases ran out. */
-    (void)slept_ms;
+    /* Expire the sessions' leases before pending messages are read. */
+    (void)paused_ms;
     agent_tick(s, now);
 }
 
 static void
 agent_metrics(struct serve *s, struct buf *b)
 {
-    const struct worker *w = s->state;
-    const struct rn_stats *st = &w->agent.runner.stats;
-    const struct sv_row rows[] = {
+    const struct agentd *ad = s->state;
+    const struct rn_stats *st = &ad->agent.runner.stats;
+    const struct sv_metric rows[] = {
         {"dw_runs_started", st->started},
         {"dw_runs_done", st->done},
         {"dw_runs_failed", st->failed},
@@ -440,15 +447,15 @@
         {"dw_runs_lapsed", st->lapsed},
         {"dw_runs_orphans", st->orphans},
         {"dw_runs_full", st->full},
-        {"dw_runs_active", rn_active(&w->agent.runner)},
+        {"dw_runs_active", rn_active(&ad->agent.runner)},
         {"dw_worker_reborn", st->reborn},
-        {"dw_worker_speed_permille", w->agent.runner.speed_permille},
+        {"dw_worker_speed_permille", ad->agent.runner.speed_permille},
     };
 
-    sv_add_rows(b, rows, sizeof(rows) / sizeof(rows[0]));
-    hist_format(&w->run_ms, "dw_run", b);
+    sv_add_metrics(b, rows, sizeof(rows) / sizeof(rows[0]));
+    hist_format(&ad->run_ms, "dw_run", b);
 }
 
 const struct sv_role sv_agent = {"agent", agent_open, agent_close, agent_tick,
     agent_flush, agent_message, agent_refused, agent_leave, agent_done,
-    agent_woke, agent_metrics};
+    agent_resumed, agent_metrics};
--- a/api.c
+++ b/api.c
@@ -451,7 +451,7 @@
 {
     uint64_t now = proc_now();
 
-    return now > d->ticked_ms ? (uint32_t)(now - d->ticked_ms) : 0;
+    return now > d->last_tick_ms ? (uint32_t)(now - d->last_tick_ms) : 0;
 }
 
 static void
@@ -589,7 +589,7 @@
             "want {\"url\":\"http://...\",\"slots\":N}, N from 1 to 10000", 0);
     }
     else {
-        back_set_urls(d->back, url, worker != NULL ? worker : url);
+        backend_set_urls(d->backend, url, worker != NULL ? worker : url);
         d->node.host.announced_ms = proc_now();
         node_backend(&d->node, proc_now(), true, (uint32_t)slots, &d->acts);
         web_reply(r, 200, "application/json", STR("{\"announced\":true}"), 0);
--- a/back.c
+++ b/backend.c
@@ -1,4 +1,4 @@
-#include "back.h"
+#include "backend.h"
 
 #include <inttypes.h>
 #include <jansson.h>
@@ -12,33 +12,34 @@
 #define URL_MAX 256
 #define HEADER_MAX 320
 #define RESULT_MAX 65536U
-#define USAGE_S 1.0
-/* Past its deadline a task is given up on, as its end will not be heard. */
-#define SLACK_MS 5000U
+#define USAGE_INTERVAL_S 1.0
+/* ms after a task's deadline at which its HTTP request times out; no response
+ * is expected after that. */
+#define RESPONSE_MARGIN_MS 5000U
 
 enum { STATUS_OK = 200, STATUS_GONE = 410 };
 
 struct run {
     uint64_t ref;
-    struct back *b;
+    struct backend *b;
     UT_hash_handle hh;
 };
 
-struct back {
+struct backend {
     struct ev_loop *loop;
     struct httpc *http;
-    struct back_cfg cfg;
-    const struct back_events *events;
+    struct backend_cfg cfg;
+    const struct backend_events *events;
     void *ctx;
-    const struct back_server_ops *server;
-    const struct back_worker_ops *worker;
+    const struct backend_server_ops *server;
+    const struct backend_worker_ops *worker;
     char server_url[URL_MAX];
     char worker_url[URL_MAX];
     ev_timer lease;
     ev_timer poll;
     struct run *runs;
-    bool polling;
-    uint64_t usage_next;
+    bool polling;        /* a usage request is pending */
+    uint64_t usage_next; /* cursor of the next usage request */
 };
 
 /* --- the backend server --- */
@@ -62,10 +63,10 @@
 }
 
 static void
-on_ran(void *ctx, const struct httpc_done *d)
+on_run_done(void *ctx, const struct httpc_done *d)
 {
     struct run *r = ctx;
-    struct back *b = r->b;
+    struct backend *b = r->b;
     uint64_t ref = r->ref;
 
     if (d->status != HTTPC_OK) {
@@ -86,7 +87,7 @@
 }
 
 static void
-http_run(struct back *b, const struct host_run *hr)
+http_run(struct backend *b, const struct host_run *hr)
 {
     struct run *r = dw_zero(1, sizeof(*r));
     struct str customer = sk_customer(&hr->rec->sk);
@@ -115,21 +116,22 @@
     call.url = url;
     call.headers = headers;
     call.body = str_bytes(&hr->task.payload);
-    call.timeout_ms = (uint32_t)(hr->deadline_ms - hr->started_ms) + SLACK_MS;
+    call.timeout_ms =
+        (uint32_t)(hr->deadline_ms - hr->started_ms) + RESPONSE_MARGIN_MS;
     call.connect_timeout_ms = 1000;
     call.body_max = RESULT_MAX;
-    call.done = on_ran;
+    call.done = on_run_done;
     call.ready = on_ready;
     call.ctx = r;
     httpc_start(b->http, &call);
 }
 
-static const struct back_server_ops http_server = {http_run};
+static const struct backend_server_ops http_server = {http_run};
 
 /* --- the worker --- */
 
 static void
-ignore(void *ctx, const struct httpc_done *d)
+log_failure(void *ctx, const struct httpc_done *d)
 {
     (void)ctx;
     if (d->status != HTTPC_OK) {
@@ -139,7 +141,7 @@
 }
 
 static void
-worker_call(struct back *b, const char *method, const char *path,
+worker_call(struct backend *b, const char *method, const char *path,
     struct str body, httpc_done_fn done)
 {
     struct httpc_call call = {0};
@@ -159,7 +161,7 @@
 }
 
 static void
-http_renew(struct back *b)
+http_renew(struct backend *b)
 {
     struct buf body = {0};
     struct run *r;
@@ -173,23 +175,23 @@
             &body, "%s\"%016" PRIx64 "\"", r == b->runs ? "" : ",", r->ref);
     }
     buf_add(&body, STR("]}"));
-    worker_call(b, "POST", "/leases", buf_str(&body), ignore);
+    worker_call(b, "POST", "/leases", buf_str(&body), log_failure);
     buf_free(&body);
 }
 
 static void
-http_stop(struct back *b, uint64_t ref)
+http_stop(struct backend *b, uint64_t ref)
 {
     char path[48];
 
     snprintf(path, sizeof(path), "/stop/%016" PRIx64, ref);
-    worker_call(b, "POST", path, STR(""), ignore);
+    worker_call(b, "POST", path, STR(""), log_failure);
 }
 
 static void
 on_usage(void *ctx, const struct httpc_done *d)
 {
-    struct back *b = ctx;
+    struct backend *b = ctx;
     json_t *o = NULL;
     size_t i;
     json_t *row;
@@ -217,7 +219,7 @@
 }
 
 static void
-http_usage(struct back *b)
+http_usage(struct backend *b)
 {
     char path[64];
 
@@ -229,15 +231,15 @@
     worker_call(b, "GET", path, STR(""), on_usage);
 }
 
-static const struct back_worker_ops http_worker = {
+static const struct backend_worker_ops http_worker = {
     http_renew, http_stop, http_usage};
 
-/* --- both --- */
+/* --- timers and interface --- */
 
 static void
-on_lease(struct ev_loop *loop, ev_timer *w, int revents)
+on_lease_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
-    struct back *b = w->data;
+    struct backend *b = w->data;
 
     (void)loop;
     (void)revents;
@@ -245,21 +247,22 @@
 }
 
 static void
-on_poll(struct ev_loop *loop, ev_timer *w, int revents)
+on_usage_timer(struct ev_loop *loop, ev_timer *w, int revents)
 {
-    struct back *b = w->data;
+    struct backend *b = w->data;
 
     (void)loop;
     (void)revents;
     b->worker->usage(b);
 }
 
-struct back *
-back_new(struct ev_loop *loop, struct httpc *http, const struct back_cfg *cfg,
-    const struct back_events *events, void *ctx)
+struct backend *
+backend_new(struct ev_loop *loop, struct httpc *http,
+    const struct backend_cfg *cfg, const struct backend_events *events,
+    void *ctx)
 {
-    struct back *b = dw_zero(1, sizeof(*b));
-    double third = cfg->lease_ms / 3000.0;
+    struct backend *b = dw_zero(1, sizeof(*b));
+    double renew_s = cfg->lease_ms / 3000.0;
 
     b->loop = loop;
     b->http = http;
@@ -268,17 +271,18 @@
     b->ctx = ctx;
     b->server = &http_server;
     b->worker = &http_worker;
-    ev_timer_init(&b->lease, on_lease, third, third);
+    ev_timer_init(&b->lease, on_lease_timer, renew_s, renew_s);
     b->lease.data = b;
     ev_timer_start(loop, &b->lease);
-    ev_timer_init(&b->poll, on_poll, USAGE_S, USAGE_S);
+    ev_timer_init(
+        &b->poll, on_usage_timer, USAGE_INTERVAL_S, USAGE_INTERVAL_S);
     b->poll.data = b;
     ev_timer_start(loop, &b->poll);
     return b;
 }
 
 void
-back_free(struct back *b)
+backend_free(struct backend *b)
 {
     struct run *r;
     struct run *tmp;
@@ -293,7 +297,7 @@
 }
 
 void
-back_set_urls(struct back *b, const char *server, const char *worker)
+backend_set_urls(struct backend *b, const char *server, const char *worker)
 {
     str_copy(b->server_url, sizeof(b->server_url), str_of(server));
     if (strcmp(b->worker_url, worker) != 0) {
@@ -303,13 +307,13 @@
 }
 
 void
-back_run(struct back *b, const struct host_run *r)
+backend_run(struct backend *b, const struct host_run *r)
 {
     b->server->run(b, r);
 }
 
 void
-back_stop(struct back *b, uint64_t ref)
+backend_stop(struct backend *b, uint64_t ref)
 {
     b->worker->stop(b, ref);
 }
--- a/daemon.h
+++ b/daemon.h
@@ -1,10 +1,11 @@
 /*
- * daemon - what the I/O modules of dunlinweird share
+ * daemon - internal interface of the I/O modules of dunlinweird
  *
- * Internal: the loop, the node that decides, and the sides that carry its
- * actions out.  One loop on one thread; nothing here blocks.  Calls go one
- * way: dunlinweird (loop, events), api and ops (callers, operators), metric,
- * carry; an answer goes up by the function pointer that is handed down.
+ * The event loop, the node that makes the decisions, and the modules that
+ * perform its actions.  One loop on one thread; nothing here blocks.  Modules
+ * call only those later in this list: dunlinweird (loop, events), api and ops
+ * (callers, operators), metric, actexec.  Answers return to api by the
+ * function pointer answer.
  */
 #ifndef DAEMON_H
 #define DAEMON_H
@@ -13,7 +14,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "back.h"
+#include "backend.h"
 #include "conf.h"
 #include "httpc.h"
 #include "link.h"
@@ -30,45 +31,45 @@
     struct conf conf;
     struct node node;
     struct link *link;
-    struct httpc *http;      /* the store */
-    struct httpc *back_http; /* the backend server and the worker */
+    struct httpc *http;         /* client connections to the store */
+    struct httpc *backend_http; /* connections to backend server and worker */
     struct store *store;
-    struct back *back;
+    struct backend *backend;
     struct web *web;
     struct trail *trail;
-    struct acts acts;
-    /* Gives an answer to the caller that waits for it. */
+    struct acts acts; /* decided by the node, not yet carried out */
+    /* Sends an answer to the caller that waits for it. */
     void (*answer)(struct daemon *d, uint64_t request, const dw_answer *a);
-    bool carrying_out;
+    bool executing; /* carry_out() is active */
     ev_timer tick;
     ev_signal term;
     ev_signal intr;
     ev_signal hup;
     uint64_t next_request;
     struct waiter *waiters; /* callers, by request id */
-    struct op *ops;         /* operators' changes on their way */
-    uint64_t changes;       /* accepted by this entry */
+    struct op *ops;         /* operators' changes under way */
+    uint64_t changes;       /* operators' changes accepted by this entry */
     bool leaving;
-    uint64_t leave_ms;
+    uint64_t leave_ms; /* when the stop was requested */
     uint64_t started_ms;
-    uint64_t pauses; /* times the loop stood still for long */
-    uint64_t ticked_ms;
+    uint64_t pauses;       /* of the loop, longer than PAUSE_MS */
+    uint64_t last_tick_ms; /* 0: none yet */
 };
 
-/* carry.c: do what the node has decided; call it after every input to it */
+/* actexec.c: carry out the node's actions; call it after each node input */
 void carry_out(struct daemon *d);
 
 /* api.c: the callers' and operators' HTTP interface */
 void api_handle(void *ctx, struct web_req *r);
 void api_gone(void *ctx, struct web_req *r);
-/* Give an answer to the caller that waits for it. */
+/* Send an answer to the caller that waits for it. */
 void api_answer(struct daemon *d, uint64_t request, const dw_answer *a);
 
 /* ops.c: operators' changes */
 void ops_handle(struct daemon *d, struct web_req *r);
 void ops_gone(struct daemon *d, struct web_req *r);
 void ops_tick(struct daemon *d, uint64_t now);
-/* True if the path is the operators'. */
+/* True if the path belongs to the operators' interface. */
 bool ops_is_path(const char *path);
 
 /* metric.c: counters as Prometheus text */
--- a/dunlinweird.c
+++ b/dunlinweird.c
@@ -1,3 +1,9 @@
+/*
+ * dunlinweird - the daemon: settings, event loop and shutdown
+ *
+ * Runs a standalone node, or a role on the users' platform (serve.h) if the
+ * settings name the platform's store.
+ */
 #include <inttypes.h>
 #include <popt.h>
 #include <signal.h>
@@ -13,12 +19,12 @@
 #include "serve.h"
 
 #define TICK_S 0.01
-/* A loop that stood still for longer is worth a line in the log. */
+/* Pauses of the loop longer than this many ms are logged and counted. */
 #define PAUSE_MS 500
 #define STORE_CONNECTIONS 8
 
-/* Where the platform says the settings are; -f goes first. */
-#define BOOT_VARIABLE "DUNLINWEIR_BOOT"
+/* Environment variable with the path of the settings; -f takes precedence. */
+#define SETTINGS_VARIABLE "DUNLINWEIR_BOOT"
 
 enum exit_code { EXIT_OK = 0, EXIT_BAD_START = 1, EXIT_BAD_USAGE = 2 };
 
@@ -60,7 +66,7 @@
     on_message, on_refused, resolve};
 
 static bool
-back_may_start(void *ctx, uint64_t ref)
+on_may_start(void *ctx, uint64_t ref)
 {
     struct daemon *d = ctx;
 
@@ -69,7 +75,7 @@
 }
 
 static void
-back_ended(
+on_task_ended(
     void *ctx, uint64_t ref, dw_tstate state, uint32_t code, struct str body)
 {
     struct daemon *d = ctx;
@@ -79,15 +85,15 @@
 }
 
 static void
-back_usage(void *ctx, struct str kind, uint32_t millicores, uint32_t memory_mb)
+on_usage(void *ctx, struct str kind, uint32_t millicores, uint32_t memory_mb)
 {
     struct daemon *d = ctx;
 
     node_usage(&d->node, kind, millicores, memory_mb);
 }
 
-static const struct back_events back_events = {
-    back_may_start, back_ended, back_usage};
+static const struct backend_events backend_callbacks = {
+    on_may_start, on_task_ended, on_usage};
 
 static void
 on_store_hint(void *ctx)
@@ -98,9 +104,9 @@
     carry_out(d);
 }
 
-/* Only readers watch: the store counts a waiting watch as a call. */
+/* Only readers watch the store, as a pending watch counts against its rate. */
 static void
-follow_readers(struct daemon *d)
+update_watch(struct daemon *d)
 {
     if (sync_is_reader(&d->node.sync)) {
         d->store->ops->watch(d->store, VIEW_PREFIX, on_store_hint, d);
@@ -110,7 +116,7 @@
     }
 }
 
-/* A backend server that stopped announcing itself may be gone. */
+/* A backend server that stopped sending announcements may be down. */
 static void
 check_announcement(struct daemon *d, uint64_t now)
 {
@@ -148,16 +154,17 @@
 
     (void)loop;
     (void)revents;
-    if (d->ticked_ms != 0 && now - d->ticked_ms > PAUSE_MS) {
+    if (d->last_tick_ms != 0 && now - d->last_tick_ms > PAUSE_MS) {
         d->pauses++;
-        log_event(LOG_LEVEL_WARN, "paused", "ms=%" PRIu64, now - d->ticked_ms);
+        log_event(
+            LOG_LEVEL_WARN, "paused", "ms=%" PRIu64, now - d->last_tick_ms);
     }
-    d->ticked_ms = now;
+    d->last_tick_ms = now;
     node_tick(&d->node, now, proc_wall(), &d->acts);
     carry_out(d);
     ops_tick(d, now);
     check_announcement(d, now);
-    follow_readers(d);
+    update_watch(d);
     check_leaving(d, now);
     carry_out(d);
 }
@@ -180,27 +187,27 @@
     carry_out(d);
 }
 
-/* Settings that may change while the process runs: the log. */
+/* Reloads the settings that may change at run time: the log. */
 static void
 on_hup(struct ev_loop *loop, ev_signal *w, int revents)
 {
     struct daemon *d = w->data;
-    struct conf *fresh = dw_zero(1, sizeof(*fresh));
+    struct conf *loaded = dw_zero(1, sizeof(*loaded));
     struct err e = {""};
 
     (void)loop;
     (void)revents;
-    if (conf_read(fresh, d->conf_path, &e) != CONF_OK) {
+    if (conf_read(loaded, d->conf_path, &e) != CONF_OK) {
         log_event(LOG_LEVEL_ERROR, "settings_refused", "error=\"%s\"", e.msg);
     }
     else {
-        d->conf.log_level = fresh->log_level;
+        d->conf.log_level = loaded->log_level;
     }
     if (log_reopen((enum log_level)d->conf.log_level, &e) != LOG_OK) {
         fprintf(stderr, "dunlinweird: %s\n", e.msg);
     }
     log_event(LOG_LEVEL_INFO, "reopened", "level=%u", d->conf.log_level);
-    free(fresh);
+    free(loaded);
 }
 
 /* --- starting --- */
@@ -217,12 +224,12 @@
 }
 
 static int
-open_sides(struct daemon *d, struct err *e)
+open_components(struct daemon *d, struct err *e)
 {
     const struct view_member *me = &d->conf.node.me;
     struct web_cfg web = {me->addr, me->http, d->conf.callers_max,
         d->conf.body_max, d->conf.idle_s};
-    struct back_cfg back = {d->conf.lease_ms, 2000};
+    struct backend_cfg back = {d->conf.lease_ms, 2000};
 
     if (link_open(&d->link, d->loop, me->id, me->addr, me->port, &link_events,
             d, e) != LINK_OK) {
@@ -233,31 +240,32 @@
         return -1;
     }
     d->http = httpc_new(d->loop, STORE_CONNECTIONS);
-    d->back_http = httpc_new(d->loop, d->conf.connections);
+    d->backend_http = httpc_new(d->loop, d->conf.connections);
     d->store = store_etcd(
         d->loop, d->http, d->conf.store_url, d->conf.store_timeout_ms);
-    d->back = back_new(d->loop, d->back_http, &back, &back_events, d);
+    d->backend =
+        backend_new(d->loop, d->backend_http, &back, &backend_callbacks, d);
     if (d->conf.backend_url[0] != '\0') {
-        back_set_urls(d->back, d->conf.backend_url, d->conf.worker_url);
+        backend_set_urls(d->backend, d->conf.backend_url, d->conf.worker_url);
         node_backend(&d->node, proc_now(), true, 0, &d->acts);
     }
     return 0;
 }
 
 static void
-close_sides(struct daemon *d)
+close_components(struct daemon *d)
 {
     if (d->store != NULL) {
         d->store->ops->free(d->store);
     }
-    if (d->back != NULL) {
-        back_free(d->back);
+    if (d->backend != NULL) {
+        backend_free(d->backend);
     }
     if (d->http != NULL) {
         httpc_free(d->http);
     }
-    if (d->back_http != NULL) {
-        httpc_free(d->back_http);
+    if (d->backend_http != NULL) {
+        httpc_free(d->backend_http);
     }
     if (d->web != NULL) {
         web_close(d->web);
@@ -282,7 +290,7 @@
     d->answer = api_answer;
     d->trail = trail_new(d->conf.trail_max);
     node_init(&d->node, &d->conf.node);
-    if (open_sides(d, &e) == 0) {
+    if (open_components(d, &e) == 0) {
         log_event(LOG_LEVEL_INFO, "started",
             "name=%s id=%016" PRIx64 " domain=%s port=%u http=%u",
             d->conf.node.me.name, d->conf.node.me.id, d->conf.node.me.domain,
@@ -294,16 +302,16 @@
         fprintf(stderr, "dunlinweird: %s\n", e.msg);
         code = EXIT_BAD_START;
     }
-    close_sides(d);
+    close_components(d);
     acts_clear(&d->acts);
     node_free(&d->node);
     trail_free(d->trail);
     return code;
 }
 
-/* On the users' platform. */
+/* Run a role on the users' platform. */
 static int
-run_served(struct daemon *d)
+run_on_platform(struct daemon *d)
 {
     static const struct sv_role *const roles[] = {
         [VIEW_ENTRY] = &sv_entry,
@@ -329,7 +337,7 @@
     struct err e = {""};
     int opt = poptGetNextOpt(ctx);
     int code = EXIT_BAD_USAGE;
-    const char *where = getenv(BOOT_VARIABLE);
+    const char *where = getenv(SETTINGS_VARIABLE);
 
     if (path == NULL && where != NULL) {
         path = str_dup(str_of(where));
@@ -358,7 +366,7 @@
         proc_raise_limits();
         curl_global_init(CURL_GLOBAL_DEFAULT);
         d->conf_path = path;
-        code = d->conf.platform.store[0] == '\0' ? run(d) : run_served(d);
+        code = d->conf.platform.store[0] == '\0' ? run(d) : run_on_platform(d);
         curl_global_cleanup();
         log_close();
     }
--- a/entrycall.c
+++ b/entrycall.c
@@ -1,5 +1,5 @@
-/* Callers of the entry on the users' platform: what they ask is begun here or
- * given to another entry, and answered. */
+/* Requests of callers to the entry daemon: each is started here or forwarded
+ * to another entry, and answered. */
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,16 +10,16 @@
 #include "platform/wire.h"
 #include "proc.h"
 
-/* ms before the platform's kill from which on a job is no longer taken: the
- * longest seen take two seconds. */
-#define TAKE_MS 2400U
-/* ms after which a request that was refused as the entry is behind may come
- * back: another entry takes it. */
-#define BEHIND_RETRY_MS 1000U
-/* Callers that say no deadline. */
-#define LEFT_MS 10000U
+/* ms before the platform's kill during which no job is accepted: the longest
+ * jobs take two seconds. */
+#define JOB_MARGIN_MS 2400U
+/* Retry-After in ms for a request refused because of overload; another entry
+ * may serve the retry. */
+#define OVERLOAD_RETRY_MS 1000U
+/* ms; applies to requests without a valid Deadline-Remaining header. */
+#define DEFAULT_DEADLINE_MS 10000U
 
-/* --- carrying out --- */
+/* --- operations of coord --- */
 
 static void
 send_message(void *ctx, uint64_t to, const dw_msg *m)
@@ -30,7 +30,7 @@
 }
 
 static void
-note_job(void *ctx, const struct co_job *j, const char *why)
+log_job(void *ctx, const struct co_job *j, const char *why)
 {
     struct entry *e = ctx;
     uint64_t now = proc_now();
@@ -47,7 +47,7 @@
 }
 
 static void
-note_refusal(void *ctx, const struct co_submit *s, const struct gs_guess *g,
+log_refusal(void *ctx, const struct co_submit *s, const struct gs_guess *g,
     const char *why, uint64_t waiting_ms)
 {
     struct entry *e = ctx;
@@ -62,7 +62,7 @@
 }
 
 static void
-note_run(void *ctx, const struct co_job *j, uint32_t index, const char *what)
+log_run(void *ctx, const struct co_job *j, uint32_t index, const char *what)
 {
     struct entry *e = ctx;
     const struct co_task *t = &j->tasks[index];
@@ -77,7 +77,7 @@
 }
 
 static void
-note_agent(void *ctx, const struct fl_agent *a, const char *what)
+log_agent(void *ctx, const struct fl_agent *a, const char *what)
 {
     bool lost =
         strcmp(what, "agent_silent") == 0 || strcmp(what, "agent_dead") == 0;
@@ -106,7 +106,7 @@
 }
 
 static void
-reply_to(struct web_req *r, enum co_outcome how, const char *reason,
+reply_outcome(struct web_req *r, enum co_outcome how, const char *reason,
     uint32_t retry_ms)
 {
     static const struct {
@@ -135,16 +135,16 @@
     (void)ctx;
     if (c->req != NULL) {
         web_set_ctx(c->req, NULL);
-        reply_to(c->req, how, reason, retry_ms);
+        reply_outcome(c->req, how, reason, retry_ms);
     }
     else {
-        rl_reply(c->taken, how, reason, retry_ms);
+        rl_reply(c->forwarded, how, reason, retry_ms);
     }
     free(c);
 }
 
 const struct co_ops ec_co_ops = {
-    send_message, answer, note_job, note_refusal, note_run, note_agent};
+    send_message, answer, log_job, log_refusal, log_run, log_agent};
 
 /* --- callers --- */
 
@@ -156,33 +156,34 @@
     double ms;
 
     if (z == NULL) {
-        return LEFT_MS;
+        return DEFAULT_DEADLINE_MS;
     }
     ms = strtod(z, &end);
-    return end == z || ms < 0 || ms > 86400000.0 ? LEFT_MS : (uint32_t)ms;
+    return end == z || ms < 0 || ms > 86400000.0 ? DEFAULT_DEADLINE_MS
+                                                 : (uint32_t)ms;
 }
 
 static struct str
 path_of(const struct caller *c)
 {
-    return str_of(c->req != NULL ? web_path(c->req) : c->taken->path);
+    return str_of(c->req != NULL ? web_path(c->req) : c->forwarded->path);
 }
 
 static struct str
 host_of(const struct caller *c)
 {
     return str_of(
-        c->req != NULL ? web_header(c->req, "Host") : c->taken->host);
+        c->req != NULL ? web_header(c->req, "Host") : c->forwarded->host);
 }
 
 static struct str
 body_of(const struct caller *c)
 {
-    return c->req != NULL ? web_body(c->req) : buf_str(&c->taken->body);
+    return c->req != NULL ? web_body(c->req) : buf_str(&c->forwarded->body);
 }
 
 static void
-answer_bad(struct entry *e, struct caller *c, const char *why)
+reject_bad_job(struct entry *e, struct caller *c, const char *why)
 {
     struct web_req *r = c->req;
 
@@ -212,7 +213,7 @@
             answer(e, c, CO_NOT_RUN, "not_served", 5000);
         }
         else {
-            answer_bad(e, c, why.msg);
+            reject_bad_job(e, c, why.msg);
         }
         return;
     }
@@ -224,7 +225,7 @@
     s.attempts = route->attempts;
     s.route_name = route->name;
     s.route = (struct gs_route){route->stretch_milli, route->slo_ms};
-    s.left_ms = c->req != NULL ? left_ms(c->req) : c->taken->left_ms;
+    s.left_ms = c->req != NULL ? left_ms(c->req) : c->forwarded->left_ms;
     s.tasks = job.tasks;
     s.count = job.count;
     co_submit(&e->coord, now, &s, c);
@@ -241,7 +242,8 @@
     buf_free(&b);
 }
 
-/* NULL if nothing is served there; the job's id, or 0 for the queue itself. */
+/* NULL if no route matches.  *id is the job's id, or 0 if the path is the
+ * route's prefix, which stands for its queue. */
 static const struct rt_route *
 find_route(struct entry *e, struct str host, struct str path, uint64_t *id)
 {
@@ -257,23 +259,23 @@
     return route;
 }
 
-/* Why no job is begun now; NULL if one is. */
+/* The reason for which no job is accepted now; NULL if jobs are accepted. */
 static const char *
-closed_for(const struct entry *e, uint64_t now)
+refusal_reason(const struct entry *e, uint64_t now)
 {
     if (e->routes.version == 0) {
         return "no_configuration";
     }
     if (e->s->leaving &&
-        now + TAKE_MS > e->s->leave_ms + e->s->conf->platform.grace_ms) {
+        now + JOB_MARGIN_MS > e->s->leave_ms + e->s->conf->platform.grace_ms) {
         return "leaving";
     }
     return NULL;
 }
 
-/* The id, as it was written at the end of a job's path. */
+/* The last component of a job's path: its id as the caller wrote it. */
 static struct str
-job_of(struct str path)
+job_id_text(struct str path)
 {
     size_t at = path.n;
 
@@ -284,9 +286,9 @@
 }
 
 static void
-note_refused(const struct entry *e, struct str path, const char *why)
+log_request_refused(const struct entry *e, struct str path, const char *why)
 {
-    struct str job = job_of(path);
+    struct str job = job_id_text(path);
 
     log_event(LOG_LEVEL_WARN, "request_refused",
         "job=%.*s why=%s waiting=%zu wait_us=%.0f busy=%.2f", (int)job.n,
@@ -294,15 +296,15 @@
 }
 
 static void
-begin_job(struct entry *e, uint64_t now, struct caller *c)
+start_request(struct entry *e, uint64_t now, struct caller *c)
 {
-    const char *why = closed_for(e, now);
+    const char *why = refusal_reason(e, now);
     const struct rt_route *route;
     struct str path = path_of(c);
     uint64_t id;
 
     if (why != NULL) {
-        note_refused(e, path, why);
+        log_request_refused(e, path, why);
         answer(e, c, CO_NOT_RUN, why, 1000);
         return;
     }
@@ -323,11 +325,11 @@
 static void
 cancel(struct entry *e, uint64_t now, struct web_req *r, uint64_t id)
 {
-    struct caller *given = rl_find(&e->relay, str_of(web_path(r)));
+    struct caller *forwarded = rl_find(&e->relay, str_of(web_path(r)));
 
-    if (given != NULL) {
-        rl_drop(&e->relay, given);
-        answer(e, given, CO_FAILED, "cancelled", 0);
+    if (forwarded != NULL) {
+        rl_drop(&e->relay, forwarded);
+        answer(e, forwarded, CO_FAILED, "cancelled", 0);
         ec_reply(r, 200, "{}");
         return;
     }
@@ -335,7 +337,7 @@
 }
 
 static void
-tell_state(struct entry *e, struct web_req *r, uint64_t id)
+reply_state(struct entry *e, struct web_req *r, uint64_t id)
 {
     if (co_known(&e->coord, id) ||
         rl_find(&e->relay, str_of(web_path(r))) != NULL) {
@@ -346,9 +348,9 @@
     }
 }
 
-/* Whatever is no job to be begun. */
+/* Requests other than job submissions. */
 static void
-serve_other(struct entry *e, uint64_t now, struct web_req *r)
+handle_other(struct entry *e, uint64_t now, struct web_req *r)
 {
     const char *method = web_method(r);
     const struct rt_route *route;
@@ -367,58 +369,59 @@
         reply_pending(e, r);
     }
     else if (strcmp(method, "GET") == 0) {
-        tell_state(e, r, id);
+        reply_state(e, r, id);
     }
     else if (strcmp(method, "DELETE") == 0) {
         cancel(e, now, r, id);
     }
     else {
-        web_problem(r, 405, "bad_method", "want POST, GET or DELETE", 0);
+        web_problem(r, 405, "bad_method", "expected POST, GET or DELETE", 0);
     }
 }
 
-/* --- requests that others had better begin --- */
+/* --- forwarded requests --- */
 
-/* ms that a taker's loop may be late with ending the jobs of a giver. */
-#define GIVE_LATE_MS 150U
-/* A caller sends again so long after an answer that was lost.  Until then a
- * taker that no longer hears this entry has ended its job, and the taker's
- * agents what they run of it, though they no longer hear the taker. */
-#define GIVE_RESEND_MS                                                        \
-    (SESS_LEASE_MS + SESS_LEASE_MS + RN_STOP_MS + RN_LAPSE_MS + GIVE_LATE_MS)
+/* ms by which a peer's loop may be late in ending an origin entry's jobs. */
+#define PEER_LATE_MS 150U
+/* Lower limit for the ms after which callers resend a request without an
+ * answer, for requests to be forwarded.  Within this time a peer that lost
+ * contact with this entry has ended the job, and agents that lost contact with
+ * the peer have ended its runs, so a resent job never runs twice at a time. */
+#define FORWARD_RESEND_MS                                                     \
+    (SESS_LEASE_MS + SESS_LEASE_MS + RN_STOP_MS + RN_LAPSE_MS + PEER_LATE_MS)
 
 static bool
-give_away(struct entry *e, uint64_t now, struct caller *c)
+forward_request(struct entry *e, uint64_t now, struct caller *c)
 {
-    struct str job = job_of(path_of(c));
+    struct str job = job_id_text(path_of(c));
 
-    if (e->s->conf->platform.resend_ms < GIVE_RESEND_MS ||
-        closed_for(e, now) != NULL ||
+    if (e->s->conf->platform.resend_ms < FORWARD_RESEND_MS ||
+        refusal_reason(e, now) != NULL ||
         !rl_give(&e->relay, now, c, host_of(c), path_of(c), body_of(c),
             left_ms(c->req))) {
         return false;
     }
-    e->given++;
+    e->forwarded_out++;
     log_event(LOG_LEVEL_INFO, "request_given", "job=%.*s", (int)job.n, job.p);
     return true;
 }
 
 static void
-begin_taken(void *ctx, struct rl_taken *t)
+start_forwarded(void *ctx, struct rl_taken *t)
 {
     struct entry *e = ctx;
     struct caller *c = dw_zero(1, sizeof(*c));
 
-    e->taken++;
-    c->taken = t;
+    e->forwarded_in++;
+    c->forwarded = t;
     t->data = c;
     if (!it_add(&e->intake, proc_now_us(), c)) {
-        answer(e, c, CO_NOT_RUN, "behind", BEHIND_RETRY_MS);
+        answer(e, c, CO_NOT_RUN, "behind", OVERLOAD_RETRY_MS);
     }
 }
 
 static void
-leave_taken(void *ctx, struct rl_taken *t)
+abandon_forwarded(void *ctx, struct rl_taken *t)
 {
     struct entry *e = ctx;
 
@@ -429,10 +432,10 @@
 }
 
 static void
-answer_given(void *ctx, void *handle, enum co_outcome how, const char *reason,
-    uint32_t retry_ms)
+answer_from_peer(void *ctx, void *handle, enum co_outcome how,
+    const char *reason, uint32_t retry_ms)
 {
-    struct str job = job_of(path_of(handle));
+    struct str job = job_id_text(path_of(handle));
 
     if (how == CO_GAVE_UP) {
         log_event(LOG_LEVEL_WARN, "request_ended", "job=%.*s why=%s",
@@ -442,49 +445,49 @@
 }
 
 static void
-note_relay(void *ctx, uint64_t entry, const char *what, uint64_t ms)
+log_relay(void *ctx, uint64_t entry, const char *what, uint64_t ms)
 {
     (void)ctx;
     log_event(LOG_LEVEL_INFO, what, "entry=%016" PRIx64 " heard_ms=%" PRIu64,
         entry, ms);
 }
 
-const struct rl_ops ec_rl_ops = {
-    send_message, begin_taken, leave_taken, answer_given, note_relay};
+const struct rl_ops ec_rl_ops = {send_message, start_forwarded,
+    abandon_forwarded, answer_from_peer, log_relay};
 
-/* The loop is not to wait before its next pass. */
+/* Make the loop start its next pass without waiting for events. */
 static void
-want_pass(struct entry *e)
+request_pass(struct entry *e)
 {
-    if (!ev_is_active(&e->more)) {
-        ev_timer_set(&e->more, 0.0, 0.0);
-        ev_timer_start(e->s->loop, &e->more);
+    if (!ev_is_active(&e->resume_timer)) {
+        ev_timer_set(&e->resume_timer, 0.0, 0.0);
+        ev_timer_start(e->s->loop, &e->resume_timer);
     }
 }
 
 static void
-turn_away(struct entry *e, struct caller *c, const char *why)
+shed(struct entry *e, struct caller *c, const char *why)
 {
-    e->turned_away++;
-    note_refused(e, path_of(c), why);
-    answer(e, c, CO_NOT_RUN, "behind", BEHIND_RETRY_MS);
+    e->shed_requests++;
+    log_request_refused(e, path_of(c), why);
+    answer(e, c, CO_NOT_RUN, "behind", OVERLOAD_RETRY_MS);
 }
 
-/* What is read first after the machine stood still has waited through it. */
+/* Requests read first after a pause of the machine waited throughout it. */
 static bool
 is_stale(const struct entry *e, uint64_t now)
 {
-    return now < e->stale_ms || e->stale_runs > 0;
+    return now < e->stale_until_ms || e->stale_passes > 0;
 }
 
 void
-ec_run(struct entry *e)
+ec_flush(struct entry *e)
 {
     web_flush(e->callers);
-    e->stale_runs -= e->stale_runs > 0;
+    e->stale_passes -= e->stale_passes > 0;
 }
 
-/* All but jobs is answered at once. */
+/* Queues or forwards job submissions; answers all others at once. */
 void
 ec_request(void *ctx, struct web_req *r)
 {
@@ -493,33 +496,35 @@
     struct caller *c;
 
     if (strcmp(web_method(r), "POST") != 0) {
-        serve_other(e, now, r);
+        handle_other(e, now, r);
         return;
     }
     if (is_stale(e, now)) {
-        note_refused(e, str_of(web_path(r)), "paused");
+        log_request_refused(e, str_of(web_path(r)), "paused");
         reply_not_run(r, "paused", 1000);
         return;
     }
     c = dw_zero(1, sizeof(*c));
     c->req = r;
     web_set_ctx(r, c);
-    /* It is read at the end of a pass: the next begins it or sends it on. */
-    want_pass(e);
-    if (lg_gives(&e->lag) && give_away(e, now, c)) {
+    /* Requests are read at the end of a pass; the next pass starts them or
+     * sends them to a peer. */
+    request_pass(e);
+    if (lg_gives(&e->lag) && forward_request(e, now, c)) {
         return;
     }
-    if (!it_add(&e->intake, proc_now_us(), c) && !give_away(e, now, c)) {
-        turn_away(e, c, "would_wait");
+    if (!it_add(&e->intake, proc_now_us(), c) && !forward_request(e, now, c)) {
+        shed(e, c, "would_wait");
     }
 }
 
-/* After a start callers are there at once, the configuration some ms later:
- * they wait for it as they would for their turn. */
+/* After startup, callers connect some ms before the configuration is loaded.
+ * Their requests stay queued until then and are refused only when they have
+ * waited too long. */
 void
-ec_begin(struct entry *e, uint64_t now)
+ec_start_queued(struct entry *e, uint64_t now)
 {
-    enum it_turn turn;
+    enum it_turn decision;
     void *c;
 
     while (e->routes.version == 0) {
@@ -527,30 +532,30 @@
         if (c == NULL) {
             return;
         }
-        begin_job(e, now, c);
+        start_request(e, now, c);
     }
     for (;;) {
-        turn = it_next(&e->intake, proc_now_us(), &c);
-        if (turn == IT_NONE) {
+        decision = it_next(&e->intake, proc_now_us(), &c);
+        if (decision == IT_NONE) {
             break;
         }
-        if (turn == IT_REFUSE) {
-            turn_away(e, c, "waited");
+        if (decision == IT_REFUSE) {
+            shed(e, c, "waited");
         }
         else {
-            begin_job(e, now, c);
+            start_request(e, now, c);
         }
     }
     if (it_count(&e->intake) == 0) {
-        ev_timer_stop(e->s->loop, &e->more);
+        ev_timer_stop(e->s->loop, &e->resume_timer);
     }
     else {
-        want_pass(e);
+        request_pass(e);
     }
 }
 
 static void
-on_more(struct ev_loop *loop, ev_timer *t, int revents)
+on_resume(struct ev_loop *loop, ev_timer *t, int revents)
 {
     (void)loop;
     (void)t;
@@ -558,7 +563,7 @@
 }
 
 void
-ec_gone(void *ctx, struct web_req *r)
+ec_caller_gone(void *ctx, struct web_req *r)
 {
     struct entry *e = ctx;
     struct caller *c = web_ctx(r);
@@ -575,6 +580,6 @@
 void
 ec_open(struct entry *e)
 {
-    ev_init(&e->more, on_more);
+    ev_init(&e->resume_timer, on_resume);
     rl_init(&e->relay, &ec_rl_ops, e, e->s->id);
 }
--- a/entryd-int.h
+++ b/entryd-int.h
@@ -1,5 +1,9 @@
 /*
- * entryd-int - what the parts of the entry on the users' platform share
+ * entryd-int - internal interface of the entry daemon on the users' platform
+ *
+ * entryd.c is the role (see serve.h), entrycall.c handles requests of callers
+ * and of other entries, entrystore.c applies the contents of the platform's
+ * store.
  */
 #ifndef ENTRYD_INT_H
 #define ENTRYD_INT_H
@@ -15,10 +19,11 @@
 #include "route.h"
 #include "serve.h"
 
-/* Who waits for a job: a caller here, or another entry for one there. */
+/* The recipient of a job's answer: an HTTP caller of this entry, or another
+ * entry that forwarded the request. */
 struct caller {
-    struct web_req *req; /* NULL: the other */
-    struct rl_taken *taken;
+    struct web_req *req; /* NULL if the request was forwarded to this entry */
+    struct rl_taken *forwarded; /* NULL if the caller is local */
 };
 
 struct entry {
@@ -26,47 +31,55 @@
     struct coord coord;
     struct rk_table ranks;
     struct rt_table routes;
-    struct web *callers;
-    struct web *ready;
-    struct follow *operators;
-    struct follow *members;
+    struct web *callers;      /* HTTP server for jobs */
+    struct web *ready;        /* HTTP server of the readiness check */
+    struct follow *operators; /* configuration and withdrawn domains */
+    struct follow *members;   /* registrations and run time estimates */
     struct relay relay;
-    uint64_t given;
-    uint64_t taken;
+    uint64_t forwarded_out; /* requests forwarded to other entries */
+    uint64_t forwarded_in;  /* requests received from other entries */
     struct news news;
-    struct hist answer_ms; /* from a request to its answer */
-    uint64_t asked_last;   /* the entry asked for news last */
-    uint64_t load_line_ms;
-    bool accepting;
+    struct hist answer_ms; /* from the arrival of a request to its answer */
+    uint64_t last_queried; /* entry whose operator state was requested last */
+    uint64_t load_logged_ms;
+    bool accepting; /* new connections of callers */
     struct intake intake;
     struct lag lag;
-    bool was_out;          /* of rotation, as logged last */
-    uint32_t missed_looks; /* of the balancer since it is out */
-    uint64_t turned_away;
-    ev_check pass_check;
-    ev_timer more; /* requests are left over for the next pass */
-    uint32_t stale_runs;
-    uint64_t stale_ms; /* requests read before this time waited too long */
+    bool logged_overloaded; /* the state that was logged last */
+    uint32_t failed_checks; /* readiness checks failed since overloaded */
+    uint64_t shed_requests; /* refused because of overload */
+    ev_check pass_check;    /* at the start of each pass of the loop */
+    ev_timer resume_timer;  /* active while requests wait for the next pass */
+    /* Requests are stale (waited through a pause of the process) if they are
+     * read within this number of ec_flush() calls, or before this time. */
+    uint32_t stale_passes;
+    uint64_t stale_until_ms;
 };
 
-/* --- entrycall.c: callers, and entries that give or take requests --- */
+/* --- entrycall.c: requests of callers, forwarded requests --- */
 extern const struct co_ops ec_co_ops;
 extern const struct rl_ops ec_rl_ops;
 void ec_open(struct entry *e);
-/* A caller's request has come whole; its caller has gone. */
+/* Callbacks of the callers' server: a request was received completely; the
+ * caller of an unanswered request closed its connection. */
 void ec_request(void *ctx, struct web_req *r);
-void ec_gone(void *ctx, struct web_req *r);
-/* Read what callers have sent and send what they were answered. */
-void ec_run(struct entry *e);
-/* Begin the requests that this pass of the loop has time for. */
-void ec_begin(struct entry *e, uint64_t now);
+void ec_caller_gone(void *ctx, struct web_req *r);
+/* Read pending requests from callers and send pending answers. */
+void ec_flush(struct entry *e);
+/* Start as many queued requests as this pass of the loop has time for. */
+void ec_start_queued(struct entry *e, uint64_t now);
+/* Reply with a JSON body. */
 void ec_reply(struct web_req *r, unsigned status, const char *text);
 
-/* --- entrynews.c: what the store and other entries tell --- */
-void en_open(struct entry *e);
-void en_take_news(struct entry *e, uint64_t from, const dw_news *told);
-void en_ask_others(struct entry *e);
-/* What jobs take is kept for whoever starts next. */
-void en_keep_times(struct entry *e, uint64_t now);
+/* --- entrystore.c: operator state, members, run time estimates --- */
+/* Start following the store. */
+void es_open(struct entry *e);
+/* Handle another entry's request for, or report of, operator state. */
+void es_operator_state(struct entry *e, uint64_t from, const dw_news *msg);
+/* Request operator state from a few other entries. */
+void es_query_peers(struct entry *e);
+/* Save the run time estimates to the store, if due, for entries that start
+ * later. */
+void es_save_estimates(struct entry *e, uint64_t now);
 
 #endif
--- a/entryd.c
+++ b/entryd.c
@@ -1,5 +1,7 @@
 /*
- * entryd - the entry on the users' platform: carries out what coord decides
+ * entryd - the entry daemon on the users' platform
+ *
+ * Performs the I/O for coord, which makes the decisions.
  */
 #include <inttypes.h>
 #include <stdlib.h>
@@ -10,15 +12,16 @@
 #include "num.h"
 #include "proc.h"
 
-/* ms after SIGTERM in which new connections may still be sent here, as the
- * balancer needs two missed looks of a second each. */
-#define ACCEPT_MS 2600U
-/* ms a request may have waited unread while the machine stood still, after
- * which its caller has tried elsewhere. */
+/* ms after SIGTERM during which new connections are accepted: the load
+ * balancer sends them until two readiness checks, one second apart, failed. */
+#define ACCEPT_AFTER_TERM_MS 2600U
+/* A pause of the process in ms after which requests that waited unread are
+ * stale: their callers have retried at another entry. */
 #define STALE_MS CO_PAUSE_MS
+/* Requests read within so many ms, or so many calls of the web server, after
+ * such a pause are stale; the calls may take longer than the window. */
 #define STALE_WINDOW_MS 40U
-/* Runs of the web server in which that is read, however long they take. */
-#define STALE_RUNS 4U
+#define STALE_PASSES 4U
 #define CALLERS_MAX 3000U
 #define BODY_MAX (1U << 20)
 #define IDLE_S 30U
@@ -30,24 +33,24 @@
            fl_sum_up(&e->coord.fleet, proc_now(), NULL, 1).capacity > 0;
 }
 
-/* Looks of the balancer that find an entry not ready until it gets no new
+/* Failed readiness checks after which the load balancer sends no new
  * connections. */
-#define LOOKS_TO_LEAVE 2U
+#define CHECKS_TO_DEREGISTER 2U
 
 static void
-on_ready(void *ctx, struct web_req *r)
+on_ready_check(void *ctx, struct web_req *r)
 {
     struct entry *e = ctx;
 
-    /* Callers that connect anew sooner would come back here. */
-    if (lg_is_out(&e->lag) && ++e->missed_looks == LOOKS_TO_LEAVE) {
+    /* Before that, callers that reconnect would be sent here again. */
+    if (lg_is_out(&e->lag) && ++e->failed_checks == CHECKS_TO_DEREGISTER) {
         web_send_elsewhere(e->callers, true);
     }
     ec_reply(r, is_ready(e) ? 200 : 503, "{}");
 }
 
 static void
-on_ready_gone(void *ctx, struct web_req *r)
+on_ready_check_gone(void *ctx, struct web_req *r)
 {
     (void)ctx;
     (void)r;
@@ -57,20 +60,20 @@
 
 static int
 open_web(struct entry *e, struct web **out, const char *endpoint,
-    web_handle_fn handle, web_gone_fn gone, struct err *err)
+    web_handle_fn handle, web_gone_fn on_gone, struct err *err)
 {
     struct conf_endpoint at;
     struct web_cfg cfg = {at.addr, 0, CALLERS_MAX, BODY_MAX, IDLE_S};
 
     conf_endpoint(&at, endpoint);
     cfg.port = at.port;
-    return web_open(out, e->s->loop, &cfg, handle, gone, e, err) == WEB_OK
+    return web_open(out, e->s->loop, &cfg, handle, on_gone, e, err) == WEB_OK
                ? 0
                : -1;
 }
 
 static void
-on_pass(struct ev_loop *loop, ev_check *w, int revents)
+on_loop_pass(struct ev_loop *loop, ev_check *w, int revents)
 {
     struct entry *e = w->data;
 
@@ -91,16 +94,17 @@
     ec_open(e);
     co_init(&e->coord, &ec_co_ops, e, s->seed, s->conf->node.me.domain,
         s->conf->node.me.addr, s->conf->node.me.port);
-    if (open_web(e, &e->callers, p->callers, ec_request, ec_gone, err) != 0 ||
-        open_web(e, &e->ready, p->readiness, on_ready, on_ready_gone, err) !=
-            0) {
+    if (open_web(e, &e->callers, p->callers, ec_request, ec_caller_gone,
+            err) != 0 ||
+        open_web(e, &e->ready, p->readiness, on_ready_check,
+            on_ready_check_gone, err) != 0) {
         return -1;
     }
-    ev_check_init(&e->pass_check, on_pass);
+    ev_check_init(&e->pass_check, on_loop_pass);
     ev_set_priority(&e->pass_check, EV_MAXPRI);
     e->pass_check.data = e;
     ev_check_start(s->loop, &e->pass_check);
-    en_open(e);
+    es_open(e);
     return 0;
 }
 
@@ -117,7 +121,7 @@
         follow_free(e->members);
     }
     ev_check_stop(s->loop, &e->pass_check);
-    ev_timer_stop(s->loop, &e->more);
+    ev_timer_stop(s->loop, &e->resume_timer);
     it_free(&e->intake);
     rl_free(&e->relay);
     co_free(&e->coord);
@@ -133,20 +137,20 @@
     free(e);
 }
 
-/* ms between lines that tell what the entry takes the fleet's load to be. */
-#define LOAD_LINE_MS 1000U
+/* ms between log lines with the fleet's load as this entry knows it. */
+#define LOAD_LOG_INTERVAL_MS 1000U
 
-/* What decided on a request afterwards: the room that was seen then. */
+/* Records the capacity on which admission decisions were based. */
 static void
-note_load(struct entry *e, uint64_t now)
+log_load(struct entry *e, uint64_t now)
 {
     const struct coord *c = &e->coord;
     size_t jobs = co_running(c);
 
-    if (now - e->load_line_ms < LOAD_LINE_MS) {
+    if (now - e->load_logged_ms < LOAD_LOG_INTERVAL_MS) {
         return;
     }
-    e->load_line_ms = now;
+    e->load_logged_ms = now;
     if (jobs > 0) {
         struct fl_sum sum = fl_sum_up(&c->fleet, now, NULL, 1);
 
@@ -159,15 +163,15 @@
 }
 
 static void
-note_rotation(struct entry *e)
+log_overload(struct entry *e)
 {
     bool out = lg_is_out(&e->lag);
 
-    if (out == e->was_out) {
+    if (out == e->logged_overloaded) {
         return;
     }
-    e->was_out = out;
-    e->missed_looks = 0;
+    e->logged_overloaded = out;
+    e->failed_checks = 0;
     web_send_elsewhere(e->callers, false);
     log_event(out ? LOG_LEVEL_WARN : LOG_LEVEL_INFO,
         out ? "behind" : "caught_up",
@@ -176,7 +180,7 @@
 }
 
 static void
-tend_relay(struct entry *e, uint64_t now)
+update_relay(struct entry *e, uint64_t now)
 {
     struct rl_state state = {is_ready(e) && lg_has_time(&e->lag),
         (uint32_t)(e->lag.busy * 1000), e->routes.version};
@@ -192,19 +196,20 @@
 entry_tick(struct serve *s, uint64_t now)
 {
     struct entry *e = s->state;
-    uint64_t began_us;
+    uint64_t start_us;
 
-    tend_relay(e, now);
-    began_us = proc_now_us();
+    update_relay(e, now);
+    start_us = proc_now_us();
     co_tick(&e->coord, now);
-    lg_probe(&e->lag, proc_now_us(), proc_now_us() - began_us,
+    lg_probe(&e->lag, proc_now_us(), proc_now_us() - start_us,
         FL_CHOSEN_MAX + co_running(&e->coord));
-    en_keep_times(e, now);
-    note_load(e, now);
+    es_save_estimates(e, now);
+    log_load(e, now);
     if (nw_must_ask(&e->news, now)) {
-        en_ask_others(e);
+        es_query_peers(e);
     }
-    if (s->leaving && e->accepting && now - s->leave_ms > ACCEPT_MS) {
+    if (s->leaving && e->accepting &&
+        now - s->leave_ms > ACCEPT_AFTER_TERM_MS) {
         e->accepting = false;
         web_stop_accepting(e->callers);
     }
@@ -215,17 +220,17 @@
 {
     struct entry *e = s->state;
 
-    /* A request that comes while there is time is begun in this pass. */
+    /* Requests that arrive while there is time are started in this pass. */
     if (lg_has_time(&e->lag)) {
-        ec_run(e);
+        ec_flush(e);
     }
-    ec_begin(e, now);
+    ec_start_queued(e, now);
     e->coord.room_pause_ms = lg_pause_ms(&e->lag);
     co_flush(&e->coord, now);
     rl_flush(&e->relay, now);
-    ec_run(e);
+    ec_flush(e);
     lg_pass_ends(&e->lag, proc_now_us());
-    note_rotation(e);
+    log_overload(e);
 }
 
 static void
@@ -243,7 +248,7 @@
         rl_replies(&e->relay, now, from, &m->dw_msg_u.relayed);
     }
     else if (m->type == DW_NEWS) {
-        en_take_news(e, from, &m->dw_msg_u.news);
+        es_operator_state(e, from, &m->dw_msg_u.news);
     }
 }
 
@@ -277,13 +282,13 @@
 }
 
 static void
-entry_woke(struct serve *s, uint64_t now, uint64_t slept_ms)
+entry_resumed(struct serve *s, uint64_t now, uint64_t paused_ms)
 {
     struct entry *e = s->state;
 
-    if (slept_ms >= STALE_MS) {
-        e->stale_ms = now + STALE_WINDOW_MS;
-        e->stale_runs = STALE_RUNS;
+    if (paused_ms >= STALE_MS) {
+        e->stale_until_ms = now + STALE_WINDOW_MS;
+        e->stale_passes = STALE_PASSES;
     }
 }
 
@@ -292,7 +297,7 @@
 {
     const struct entry *e = s->state;
     const struct co_stats *st = &e->coord.stats;
-    const struct sv_row rows[] = {
+    const struct sv_metric rows[] = {
         {"dw_jobs_submitted", st->submitted},
         {"dw_jobs_attached", st->attached},
         {"dw_jobs_completed", st->completed},
@@ -309,17 +314,17 @@
         {"dw_choice_widened", st->widened},
         {"dw_config_version", e->routes.version},
         {"dw_requests_waiting", it_count(&e->intake)},
-        {"dw_requests_turned_away", e->turned_away},
-        {"dw_requests_given", e->given},
-        {"dw_requests_taken", e->taken},
+        {"dw_requests_turned_away", e->shed_requests},
+        {"dw_requests_given", e->forwarded_out},
+        {"dw_requests_taken", e->forwarded_in},
         {"dw_busy_permille", (uint64_t)(e->lag.busy * 1000)},
         {"dw_behind", lg_is_out(&e->lag)},
     };
 
-    sv_add_rows(b, rows, sizeof(rows) / sizeof(rows[0]));
+    sv_add_metrics(b, rows, sizeof(rows) / sizeof(rows[0]));
     hist_format(&e->answer_ms, "dw_answer", b);
 }
 
 const struct sv_role sv_entry = {"entry", entry_open, entry_close, entry_tick,
     entry_flush, entry_message, entry_refused, entry_leave, entry_done,
-    entry_woke, entry_metrics};
+    entry_resumed, entry_metrics};
--- a/entrynews.c
+++ b/entrystore.c
@@ -1,5 +1,6 @@
-/* What the store and other entries tell an entry on the users' platform: what
- * operators want, who is there, what jobs take. */
+/* State that the entry daemon reads from the platform's store: operator state
+ * (also from other entries while the store is unreachable), members, and run
+ * time estimates. */
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,27 +10,27 @@
 #include "platform/wire.h"
 #include "proc.h"
 
-/* ms a watch of the operators' part waits: a connection may fall silent for
- * good, and changes must be in force within two seconds. */
+/* ms that a watch of the operators' keys waits.  A connection may silently
+ * stop working, and changes must be in force within two seconds. */
 #define WATCH_OPERATORS_MS 800U
-/* ms a watch of the members waits; sessions show who lives, so this only
- * delays newcomers. */
+/* ms that a watch of the members waits.  Sessions detect failed members, so
+ * this only delays new ones. */
 #define WATCH_MEMBERS_MS 2000U
 
-/* --- what operators want --- */
+/* --- operator state --- */
 
 #define CONFIG_KEY "op/config"
 #define EVACUATE_PREFIX "op/evacuate/"
 
 static void
-take_config(struct entry *e, struct str text)
+apply_config(struct entry *e, struct str text)
 {
-    struct rt_table fresh;
+    struct rt_table loaded;
     struct err why = {""};
     size_t left_out;
     uint64_t version;
 
-    if (wire_read_config(&fresh, text, &left_out, &why) != WIRE_OK) {
+    if (wire_read_config(&loaded, text, &left_out, &why) != WIRE_OK) {
         log_event(LOG_LEVEL_ERROR, "config_refused", "error=\"%s\"", why.msg);
         return;
     }
@@ -37,15 +38,15 @@
         log_event(LOG_LEVEL_WARN, "config_routes_left_out",
             "count=%zu last=\"%s\"", left_out, why.msg);
     }
-    version = fresh.version;
-    if (rt_adopt(&e->routes, &fresh)) {
+    version = loaded.version;
+    if (rt_adopt(&e->routes, &loaded)) {
         log_event(LOG_LEVEL_INFO, "config_in_force",
             "version=%" PRIu64 " routes=%zu", version, e->routes.count);
     }
 }
 
 static void
-tell_withdrawn(struct entry *e)
+apply_withdrawn(struct entry *e)
 {
     fl_withdraw(&e->coord.fleet, (const char *const *)e->news.withdrawn,
         e->news.withdrawn_count);
@@ -58,7 +59,7 @@
 
     if (strcmp(it->key, CONFIG_KEY) == 0 && !it->deleted) {
         nw_config(&e->news, it->value, it->rev);
-        take_config(e, it->value);
+        apply_config(e, it->value);
     }
     else if (strncmp(it->key, EVACUATE_PREFIX, sizeof(EVACUATE_PREFIX) - 1) ==
              0) {
@@ -69,7 +70,8 @@
 }
 
 static void
-operators_whole(void *ctx, const struct kv_item *items, size_t n, uint64_t rev)
+operators_snapshot(
+    void *ctx, const struct kv_item *items, size_t n, uint64_t rev)
 {
     struct entry *e = ctx;
 
@@ -78,7 +80,7 @@
         operators_item(e, &items[i]);
     }
     nw_seen(&e->news, rev);
-    tell_withdrawn(e);
+    apply_withdrawn(e);
 }
 
 static void
@@ -88,95 +90,95 @@
 
     operators_item(e, it);
     nw_seen(&e->news, it->rev);
-    tell_withdrawn(e);
+    apply_withdrawn(e);
 }
 
 static void
-note_store(bool answers, const char *message)
+log_store(bool available, const char *message)
 {
-    log_event(answers ? LOG_LEVEL_INFO : LOG_LEVEL_WARN,
-        answers ? "store_regained" : "store_lost", "message=\"%s\"", message);
+    log_event(available ? LOG_LEVEL_INFO : LOG_LEVEL_WARN,
+        available ? "store_regained" : "store_lost", "message=\"%s\"",
+        message);
 }
 
 static void
-operators_state(void *ctx, bool answers, const char *message)
+operators_availability(void *ctx, bool available, const char *message)
 {
     struct entry *e = ctx;
 
-    nw_store(&e->news, proc_now(), answers);
-    note_store(answers, message);
+    nw_store(&e->news, proc_now(), available);
+    log_store(available, message);
 }
 
-/* Entries other than this one, in the order of their ids after ours, so that
- * not all ask the same. */
-#define ASKED_MAX 2U
+/* Entries queried at a time.  The one queried last is skipped, so that not all
+ * queries go to the same entries. */
+#define QUERIES_MAX 2U
 
 void
-en_ask_others(struct entry *e)
+es_query_peers(struct entry *e)
 {
     struct sv_peer *p;
-    uint32_t asked = 0;
+    uint32_t queries = 0;
     dw_msg m;
 
     nw_question(&e->news, &m);
-    for (p = e->s->peers; p != NULL && asked < ASKED_MAX; p = p->hh.next) {
-        if (!p->is_agent && p->entered && p->id != e->s->id &&
-            p->id != e->asked_last) {
+    for (p = e->s->peers; p != NULL && queries < QUERIES_MAX; p = p->hh.next) {
+        if (!p->is_agent && p->registered && p->id != e->s->id &&
+            p->id != e->last_queried) {
             link_send(e->s->link, p->id, &m);
-            e->asked_last = p->id;
-            asked++;
+            e->last_queried = p->id;
+            queries++;
         }
     }
 }
 
 void
-en_take_news(struct entry *e, uint64_t from, const dw_news *told)
+es_operator_state(struct entry *e, uint64_t from, const dw_news *msg)
 {
     dw_msg answer;
 
-    if (told->question) {
+    if (msg->question) {
         nw_seen(&e->news, e->news.answers ? follow_rev(e->operators) : 0);
-        if (nw_answer(&e->news, told, &answer)) {
+        if (nw_answer(&e->news, msg, &answer)) {
             link_send(e->s->link, from, &answer);
             xdr_free((xdrproc_t)xdr_dw_msg, &answer);
         }
     }
-    else if (nw_take(&e->news, told)) {
+    else if (nw_take(&e->news, msg)) {
         log_event(LOG_LEVEL_INFO, "news_from_entry",
-            "entry=%016" PRIx64 " as_of=%" PRIu64, from,
-            (uint64_t)told->as_of);
-        take_config(e, buf_str(&e->news.config));
-        tell_withdrawn(e);
+            "entry=%016" PRIx64 " as_of=%" PRIu64, from, (uint64_t)msg->as_of);
+        apply_config(e, buf_str(&e->news.config));
+        apply_withdrawn(e);
     }
 }
 
 static const struct follow_events operators_events = {
-    operators_whole, operators_change, operators_state};
+    operators_snapshot, operators_change, operators_availability};
 
 /* --- members --- */
 
 static void
-find_rank(struct entry *e)
+update_rank(struct entry *e)
 {
     const struct view_member *me = &e->s->conf->node.me;
-    struct rk_place place =
+    struct rk_place rank =
         rk_find(&e->ranks, proc_now(), me->name, me->domain);
 
-    fl_set_rank(&e->coord.fleet, place.near, place.all);
+    fl_set_rank(&e->coord.fleet, rank.near, rank.all);
 }
 
 static void
-member_in(struct entry *e, const struct sv_peer *told)
+add_member(struct entry *e, const struct sv_peer *peer)
 {
-    struct sv_peer *p = sv_peer(e->s, told->id, true);
+    struct sv_peer *p = sv_peer(e->s, peer->id, true);
     UT_hash_handle hh = p->hh;
     struct fl_agent *a;
 
-    *p = *told;
+    *p = *peer;
     p->hh = hh;
     if (!p->is_agent) {
         rk_in(&e->ranks, p->name, p->domain);
-        find_rank(e);
+        update_rank(e);
         rl_entry_in(&e->relay, p->id);
         return;
     }
@@ -184,12 +186,12 @@
     a->member = true;
 }
 
-/* --- what jobs take, kept for whoever starts next --- */
+/* --- run time estimates, saved for entries that start later --- */
 
-#define TIMES_PREFIX SV_PREFIX "times/"
+#define ESTIMATES_PREFIX SV_KEY_PREFIX "times/"
 
 static void
-on_times_kept(void *ctx, const struct kv_answer *a)
+on_estimates_saved(void *ctx, const struct kv_response *a)
 {
     (void)ctx;
     if (a->status != KV_OK) {
@@ -199,46 +201,47 @@
 }
 
 static void
-on_times_lease(void *ctx, const struct kv_answer *a)
+on_estimates_lease(void *ctx, const struct kv_response *a)
 {
     struct entry *e = ctx;
     struct buf key = {0};
     struct buf value = {0};
 
     if (a->status != KV_OK || a->lease == 0) {
-        on_times_kept(ctx, a);
+        on_estimates_saved(ctx, a);
         return;
     }
-    buf_addf(&key, TIMES_PREFIX "%s", e->s->conf->node.me.name);
+    buf_addf(&key, ESTIMATES_PREFIX "%s", e->s->conf->node.me.name);
     gs_save(&e->coord.times, &value);
     if (value.n > 0) {
-        kv_put(e->s->kv, key.p, buf_str(&value), a->lease, on_times_kept, e);
+        kv_put(
+            e->s->kv, key.p, buf_str(&value), a->lease, on_estimates_saved, e);
     }
     buf_free(&key);
     buf_free(&value);
 }
 
 void
-en_keep_times(struct entry *e, uint64_t now)
+es_save_estimates(struct entry *e, uint64_t now)
 {
     if (gs_keep_due(&e->coord.times, now)) {
-        kv_lease(e->s->kv, GS_KEEP_MS, on_times_lease, e);
+        kv_lease_grant(e->s->kv, GS_KEEP_MS, on_estimates_lease, e);
     }
 }
 
 static void
-times_change(struct entry *e, const struct kv_item *it)
+load_estimates(struct entry *e, const struct kv_item *it)
 {
     if (!it->deleted && !gs_load(&e->coord.times, it->value)) {
         log_event(LOG_LEVEL_WARN, "times_unreadable", "key=%s", it->key);
     }
 }
 
-/* A key that vanished says little: a session shows better who lives. */
+/* A missing key does not mean that the process is down; sessions show that. */
 static void
-member_out(struct entry *e, const char *key)
+remove_member(struct entry *e, const char *key)
 {
-    const char *name = key + sizeof(SV_PREFIX) - 1;
+    const char *name = key + sizeof(SV_KEY_PREFIX) - 1;
     struct sv_peer *p;
     struct sv_peer *tmp;
 
@@ -248,7 +251,7 @@
         if (strcmp(p->name, name) != 0) {
             continue;
         }
-        p->entered = false;
+        p->registered = false;
         if (!p->is_agent) {
             rl_entry_out(&e->relay, p->id);
         }
@@ -263,29 +266,31 @@
 members_change(void *ctx, const struct kv_item *it)
 {
     struct entry *e = ctx;
-    struct sv_peer told;
+    struct sv_peer peer;
 
-    if (strncmp(it->key, SV_PREFIX, sizeof(SV_PREFIX) - 1) != 0) {
+    if (strncmp(it->key, SV_KEY_PREFIX, sizeof(SV_KEY_PREFIX) - 1) != 0) {
         return;
     }
-    if (strncmp(it->key, TIMES_PREFIX, sizeof(TIMES_PREFIX) - 1) == 0) {
-        times_change(e, it);
+    if (strncmp(it->key, ESTIMATES_PREFIX, sizeof(ESTIMATES_PREFIX) - 1) ==
+        0) {
+        load_estimates(e, it);
         return;
     }
-    member_out(e, it->key);
+    remove_member(e, it->key);
     if (it->deleted) {
         return;
     }
-    if (!sv_read_peer(&told, it->key, it->value)) {
+    if (!sv_read_peer(&peer, it->key, it->value)) {
         log_event(LOG_LEVEL_WARN, "member_unreadable", "key=%s", it->key);
         return;
     }
-    member_in(e, &told);
-    tell_withdrawn(e);
+    add_member(e, &peer);
+    apply_withdrawn(e);
 }
 
 static void
-members_whole(void *ctx, const struct kv_item *items, size_t n, uint64_t rev)
+members_snapshot(
+    void *ctx, const struct kv_item *items, size_t n, uint64_t rev)
 {
     struct entry *e = ctx;
     struct fl_agent *a;
@@ -301,21 +306,21 @@
 }
 
 static void
-members_state(void *ctx, bool answers, const char *message)
+members_availability(void *ctx, bool available, const char *message)
 {
     (void)ctx;
-    note_store(answers, message);
+    log_store(available, message);
 }
 
 static const struct follow_events members_events = {
-    members_whole, members_change, members_state};
+    members_snapshot, members_change, members_availability};
 
 void
-en_open(struct entry *e)
+es_open(struct entry *e)
 {
     e->news.answers = true;
     e->operators = follow_new(
         e->s->loop, e->s->kv, "op/", WATCH_OPERATORS_MS, &operators_events, e);
-    e->members = follow_new(
-        e->s->loop, e->s->kv, SV_PREFIX, WATCH_MEMBERS_MS, &members_events, e);
+    e->members = follow_new(e->s->loop, e->s->kv, SV_KEY_PREFIX,
+        WATCH_MEMBERS_MS, &members_events, e);
 }
--- a/serve.c
+++ b/serve.c
@@ -12,21 +12,21 @@
 #include "proc.h"
 
 #define TICK_S 0.02
-/* After the messages that have come, before callers. */
+/* After received messages, before callers. */
 #define SV_TICK_PRIORITY (-1)
-/* A pass of the loop that took longer is a pause of the machine's. */
+/* A longer pass of the loop, in ms, counts as a pause of the machine. */
 #define PAUSE_MS 300U
-/* Two watches, a read or two, and what is sent again. */
+/* Two watches, one or two reads, and requests that are resent. */
 #define STORE_CONNECTIONS 16
-/* ms until a call to the store counts as unanswered, each of its sendings
- * included. */
+/* Timeout in ms of a call to the store, including all resends. */
 #define STORE_TIMEOUT_MS 1300U
-/* ms an entry in the store outlives its last renewal. */
-#define ENTRY_TTL_MS 6000U
-#define ENTRY_KEEP_MS 2000U
-/* ms between looks at our own entry, which may vanish without a word. */
-#define ENTRY_CHECK_MS 3000U
-/* ms before the platform's own kill at which a stop ends at the latest. */
+/* ms that a registration outlives its last renewal. */
+#define REGISTRATION_TTL_MS 6000U
+#define REGISTRATION_RENEW_MS 2000U
+/* ms between reads of the own registration: the store may drop it without
+ * notice. */
+#define REGISTRATION_VERIFY_MS 3000U
+/* ms before the platform's kill at which a planned stop ends at the latest. */
 #define LEAVE_MARGIN_MS 600U
 
 /* --- peers --- */
@@ -57,24 +57,24 @@
     }
 }
 
-/* --- our entry in the store --- */
+/* --- registration in the store --- */
 
-#define ENTRY_FORMAT "1 %016" PRIx64 " %s %u %s %s %s"
+#define REGISTRATION_FORMAT "1 %016" PRIx64 " %s %u %s %s %s"
 
 static void
-own_key(const struct serve *s, char *out, size_t cap)
+registration_key(const struct serve *s, char *out, size_t cap)
 {
-    snprintf(out, cap, SV_PREFIX "%s", s->conf->node.me.name);
+    snprintf(out, cap, SV_KEY_PREFIX "%s", s->conf->node.me.name);
 }
 
 static void
-own_value(const struct serve *s, char *out, size_t cap)
+registration_value(const struct serve *s, char *out, size_t cap)
 {
     const struct view_member *me = &s->conf->node.me;
     const char *service = s->conf->platform.service;
 
-    snprintf(out, cap, ENTRY_FORMAT, s->id, me->addr, me->port, me->domain,
-        s->role->name, service[0] != '\0' ? service : "-");
+    snprintf(out, cap, REGISTRATION_FORMAT, s->id, me->addr, me->port,
+        me->domain, s->role->name, service[0] != '\0' ? service : "-");
 }
 
 bool
@@ -86,30 +86,31 @@
 
     memset(out, 0, sizeof(*out));
     str_copy(text, sizeof(text), value);
-    if (strncmp(key, SV_PREFIX, sizeof(SV_PREFIX) - 1) != 0 ||
+    if (strncmp(key, SV_KEY_PREFIX, sizeof(SV_KEY_PREFIX) - 1) != 0 ||
         sscanf(text, "1 %" SCNx64 " %63s %u %63s %15s %63s", &out->id,
             out->addr, &port, out->domain, role, out->service) != 6 ||
         port == 0 || port > 65535 || out->id == 0) {
         return false;
     }
     str_copy(
-        out->name, sizeof(out->name), str_of(key + sizeof(SV_PREFIX) - 1));
+        out->name, sizeof(out->name), str_of(key + sizeof(SV_KEY_PREFIX) - 1));
     out->port = (uint16_t)port;
     out->is_agent = strcmp(role, sv_agent.name) == 0;
-    out->entered = true;
+    out->registered = true;
     return true;
 }
 
 static void
-entry_failed(struct serve *s, const char *what, const struct kv_answer *a)
+registration_failed(
+    struct serve *s, const char *what, const struct kv_response *a)
 {
-    s->entering = false;
+    s->registering = false;
     log_event(LOG_LEVEL_WARN, "own_entry_failed", "call=%s error=\"%s\"", what,
         a->message);
 }
 
 static void
-on_put(void *ctx, const struct kv_answer *a)
+on_put(void *ctx, const struct kv_response *a)
 {
     struct serve *s = ctx;
 
@@ -117,44 +118,45 @@
         s->lease = 0;
     }
     if (a->status != KV_OK) {
-        /* Carried out or not, the same write again does no harm. */
-        entry_failed(s, "put", a);
+        /* The write is idempotent: repeating it is harmless even if it took
+         * effect. */
+        registration_failed(s, "put", a);
         return;
     }
-    s->entering = false;
-    s->entered = true;
-    s->check_ms = proc_now();
+    s->registering = false;
+    s->registered = true;
+    s->verified_ms = proc_now();
     log_event(LOG_LEVEL_INFO, "entered", "lease=%" PRIu64, s->lease);
 }
 
 static void
-put_entry(struct serve *s)
+put_registration(struct serve *s)
 {
     char key[128];
     char value[512];
 
-    own_key(s, key, sizeof(key));
-    own_value(s, value, sizeof(value));
-    s->entering = true;
+    registration_key(s, key, sizeof(key));
+    registration_value(s, value, sizeof(value));
+    s->registering = true;
     kv_put(s->kv, key, str_of(value), s->lease, on_put, s);
 }
 
 static void
-on_lease(void *ctx, const struct kv_answer *a)
+on_lease(void *ctx, const struct kv_response *a)
 {
     struct serve *s = ctx;
 
     if (a->status != KV_OK || a->lease == 0) {
-        entry_failed(s, "lease", a);
+        registration_failed(s, "lease", a);
         return;
     }
     s->lease = a->lease;
-    s->keep_ms = proc_now();
-    put_entry(s);
+    s->renewed_ms = proc_now();
+    put_registration(s);
 }
 
 static void
-on_kept(void *ctx, const struct kv_answer *a)
+on_renewed(void *ctx, const struct kv_response *a)
 {
     struct serve *s = ctx;
 
@@ -162,57 +164,57 @@
         log_event(
             LOG_LEVEL_WARN, "own_entry_lapsed", "lease=%" PRIu64, s->lease);
         s->lease = 0;
-        s->entered = false;
-        s->keep_ms = 0;
+        s->registered = false;
+        s->renewed_ms = 0;
     }
 }
 
 static void
-on_checked(void *ctx, const struct kv_answer *a)
+on_verified(void *ctx, const struct kv_response *a)
 {
     struct serve *s = ctx;
     char value[512];
 
-    own_value(s, value, sizeof(value));
+    registration_value(s, value, sizeof(value));
     if (a->status == KV_NOT_FOUND || (a->status == KV_OK && a->count == 1 &&
                                          !str_is(a->items[0].value, value))) {
         log_event(
             LOG_LEVEL_WARN, "own_entry_gone", "lease=%" PRIu64, s->lease);
-        s->entered = false;
-        s->keep_ms = 0;
+        s->registered = false;
+        s->renewed_ms = 0;
     }
 }
 
-/* ms between attempts to enter while the store fails. */
-#define ENTER_RETRY_MS 300U
+/* ms between attempts to register while the store fails. */
+#define REGISTER_RETRY_MS 300U
 
 static void
-tend_entry(struct serve *s, uint64_t now)
+maintain_registration(struct serve *s, uint64_t now)
 {
     char key[128];
 
-    if (s->entering || s->leaving) {
+    if (s->registering || s->leaving) {
         return;
     }
-    if (!s->entered && now - s->keep_ms >= ENTER_RETRY_MS) {
-        s->keep_ms = now;
-        s->entering = true;
+    if (!s->registered && now - s->renewed_ms >= REGISTER_RETRY_MS) {
+        s->renewed_ms = now;
+        s->registering = true;
         if (s->lease == 0) {
-            kv_lease(s->kv, ENTRY_TTL_MS, on_lease, s);
+            kv_lease_grant(s->kv, REGISTRATION_TTL_MS, on_lease, s);
         }
         else {
-            put_entry(s);
+            put_registration(s);
         }
         return;
     }
-    if (s->entered && now - s->keep_ms >= ENTRY_KEEP_MS) {
-        s->keep_ms = now;
-        kv_keep(s->kv, s->lease, on_kept, s);
+    if (s->registered && now - s->renewed_ms >= REGISTRATION_RENEW_MS) {
+        s->renewed_ms = now;
+        kv_lease_renew(s->kv, s->lease, on_renewed, s);
     }
-    if (s->entered && now - s->check_ms >= ENTRY_CHECK_MS) {
-        s->check_ms = now;
-        own_key(s, key, sizeof(key));
-        kv_get(s->kv, key, true, on_checked, s);
+    if (s->registered && now - s->verified_ms >= REGISTRATION_VERIFY_MS) {
+        s->verified_ms = now;
+        registration_key(s, key, sizeof(key));
+        kv_get(s->kv, key, true, on_verified, s);
     }
 }
 
@@ -256,8 +258,8 @@
 static void
 check_leaving(struct serve *s, uint64_t now)
 {
-    uint64_t longest = num_minus(s->conf->platform.grace_ms, LEAVE_MARGIN_MS);
-    bool late = now - s->leave_ms >= longest;
+    uint64_t max_ms = num_minus(s->conf->platform.grace_ms, LEAVE_MARGIN_MS);
+    bool late = now - s->leave_ms >= max_ms;
 
     if (s->leaving && (late || s->role->done(s, now))) {
         log_event(late ? LOG_LEVEL_WARN : LOG_LEVEL_INFO, "left",
@@ -277,7 +279,7 @@
     log_flush();
 }
 
-/* Comes before everything else that a pass of the loop does. */
+/* Called first in each pass of the loop. */
 static void
 on_check(struct ev_loop *loop, ev_check *w, int revents)
 {
@@ -286,12 +288,13 @@
 
     (void)loop;
     (void)revents;
-    if (s->woke_ms != 0 && now - s->woke_ms > PAUSE_MS) {
+    if (s->last_pass_ms != 0 && now - s->last_pass_ms > PAUSE_MS) {
         s->pauses++;
-        log_event(LOG_LEVEL_WARN, "paused", "ms=%" PRIu64, now - s->woke_ms);
-        s->role->woke(s, now, now - s->woke_ms);
+        log_event(
+            LOG_LEVEL_WARN, "paused", "ms=%" PRIu64, now - s->last_pass_ms);
+        s->role->resumed(s, now, now - s->last_pass_ms);
     }
-    s->woke_ms = now;
+    s->last_pass_ms = now;
 }
 
 static void
@@ -311,23 +314,23 @@
     s->role->leave(s, s->leave_ms);
 }
 
-/* Settings that may change while the process runs: the log's level. */
+/* Reloads the settings that may change at run time: the log level. */
 static void
 reload(struct serve *s)
 {
-    struct conf *fresh = dw_zero(1, sizeof(*fresh));
+    struct conf *loaded = dw_zero(1, sizeof(*loaded));
     struct err e = {""};
 
-    if (conf_read(fresh, s->conf_path, &e) != CONF_OK) {
+    if (conf_read(loaded, s->conf_path, &e) != CONF_OK) {
         log_event(LOG_LEVEL_ERROR, "settings_refused", "error=\"%s\"", e.msg);
     }
     else {
-        s->conf->log_level = fresh->log_level;
+        s->conf->log_level = loaded->log_level;
         log_reopen((enum log_level)s->conf->log_level, &e);
         log_event(
             LOG_LEVEL_INFO, "reloaded", "log_level=%u", s->conf->log_level);
     }
-    free(fresh);
+    free(loaded);
 }
 
 static void
@@ -338,28 +341,28 @@
     reload(w->data);
 }
 
-/* The settings file may change without a signal. */
-#define CONF_LOOK_MS 2000U
+/* ms between checks of the settings file, which may change without SIGHUP. */
+#define CONF_CHECK_MS 2000U
 
 static void
-look_at_conf(struct serve *s, uint64_t now)
+check_conf_file(struct serve *s, uint64_t now)
 {
     struct stat st;
-    uint64_t seen;
+    uint64_t mtime_ns;
 
-    if (now - s->conf_look_ms < CONF_LOOK_MS) {
+    if (now - s->conf_checked_ms < CONF_CHECK_MS) {
         return;
     }
-    s->conf_look_ms = now;
+    s->conf_checked_ms = now;
     if (stat(s->conf_path, &st) != 0) {
         return;
     }
-    seen = (uint64_t)st.st_mtim.tv_sec * 1000000000U +
-           (uint64_t)st.st_mtim.tv_nsec;
-    if (s->conf_seen != 0 && s->conf_seen != seen) {
+    mtime_ns = (uint64_t)st.st_mtim.tv_sec * 1000000000U +
+               (uint64_t)st.st_mtim.tv_nsec;
+    if (s->conf_mtime_ns != 0 && s->conf_mtime_ns != mtime_ns) {
         reload(s);
     }
-    s->conf_seen = seen;
+    s->conf_mtime_ns = mtime_ns;
 }
 
 static void
@@ -371,8 +374,8 @@
     (void)loop;
     (void)revents;
     s->role->tick(s, now);
-    tend_entry(s, now);
-    look_at_conf(s, now);
+    maintain_registration(s, now);
+    check_conf_file(s, now);
     check_leaving(s, now);
 }
 
@@ -383,7 +386,8 @@
     proc_watch_signal(s->loop, &s->intr, SIGINT, on_term, s);
     proc_watch_signal(s->loop, &s->hup, SIGHUP, on_hup, s);
     ev_timer_init(&s->tick, on_tick, 0.0, TICK_S);
-    /* Whoever sent in time is not silent because it was read late. */
+    /* Messages first, so that a peer whose messages are read late does not
+     * count as silent. */
     ev_set_priority(&s->tick, SV_TICK_PRIORITY);
     s->tick.data = s;
     ev_timer_start(s->loop, &s->tick);
@@ -399,7 +403,7 @@
 /* --- metrics --- */
 
 void
-sv_add_rows(struct buf *b, const struct sv_row *rows, size_t n)
+sv_add_metrics(struct buf *b, const struct sv_metric *rows, size_t n)
 {
     for (size_t i = 0; i < n; i++) {
         buf_addf(b, "%s %" PRIu64 "\n", rows[i].name, rows[i].value);
@@ -412,16 +416,16 @@
     buf_add(ctx, str_of(text));
 }
 
-/* What this process remembers of a job: /lines?job=ID */
+/* Recent log lines of a job: GET /lines?job=ID */
 static void
-reply_lines(struct web_req *r)
+reply_log_lines(struct web_req *r)
 {
     const char *id = web_query(r, "job");
     struct buf field = {0};
     struct buf b = {0};
 
     if (id == NULL) {
-        web_problem(r, 400, "no_job", "want /lines?job=ID", 0);
+        web_problem(r, 400, "no_job", "expected /lines?job=ID", 0);
         return;
     }
     buf_addf(&field, "job=%s", id);
@@ -436,23 +440,23 @@
 {
     struct serve *s = ctx;
     const struct kv_stats *kv = kv_stats(s->kv);
-    const struct sv_row rows[] = {
+    const struct sv_metric rows[] = {
         {"dw_uptime_ms", proc_now() - s->started_ms},
         {"dw_pauses", s->pauses},
         {"dw_store_reads", kv->reads},
-        {"dw_store_cheap_reads", kv->cheap},
+        {"dw_store_cheap_reads", kv->cheap_reads},
         {"dw_store_writes", kv->writes},
         {"dw_store_failures", kv->failures},
-        {"dw_store_sent_again", kv->again},
+        {"dw_store_sent_again", kv->resent},
         {"dw_log_lines_lost", log_lost()},
     };
     struct buf b = {0};
 
     if (strcmp(web_path(r), "/lines") == 0) {
-        reply_lines(r);
+        reply_log_lines(r);
         return;
     }
-    sv_add_rows(&b, rows, sizeof(rows) / sizeof(rows[0]));
+    sv_add_metrics(&b, rows, sizeof(rows) / sizeof(rows[0]));
     s->role->metrics(s, &b);
     web_reply(r, 200, "text/plain", buf_str(&b), 0);
     buf_free(&b);
@@ -482,7 +486,7 @@
                : -1;
 }
 
-/* --- start and end --- */
+/* --- start and stop --- */
 
 static int
 open_all(struct serve *s, struct err *e)
--- a/serve.h
+++ b/serve.h
@@ -1,8 +1,9 @@
 /*
- * serve - what both roles share on the users' platform
+ * serve - process runtime shared by both roles on the users' platform
  *
- * One loop on one thread: the link, the client of the platform's store, this
- * process's entry there, signals, and the table of peers.  The role decides.
+ * Runs one event loop on one thread: the link, the client of the platform's
+ * store, this process's registration in the store, signals, and the table of
+ * peers.  The role (entry or agent) makes the decisions.
  */
 #ifndef SERVE_H
 #define SERVE_H
@@ -22,10 +23,11 @@
 extern "C" {
 #endif
 
-#define SV_PREFIX "dunlinweir/"
-#define SV_NAME_MAX 64
+/* Prefix of the project's keys in the platform's store. */
+#define SV_KEY_PREFIX "dunlinweir/"
+#define SV_NAME_MAX 64 /* bytes, including the terminating NUL */
 
-/* Another process, as entered in the store or told by itself. */
+/* Another process, as registered in the store or as reported by itself. */
 struct sv_peer {
     uint64_t id;
     char name[SV_NAME_MAX];
@@ -34,33 +36,39 @@
     char addr[SV_NAME_MAX];
     uint16_t port;
     bool is_agent;
-    bool entered; /* stands in the store */
+    bool registered; /* in the store */
     UT_hash_handle hh;
 };
 
 struct serve;
 
+/* Callbacks of a role.  Times are monotonic, in ms (see proc_now()). */
 struct sv_role {
     const char *name;
+    /* 0, or -1 with e set. */
     int (*open)(struct serve *s, struct err *e);
     void (*close)(struct serve *s);
-    /* Each 20 ms, and whenever a pass of the loop is over. */
+    /* Called every 20 ms. */
     void (*tick)(struct serve *s, uint64_t now);
+    /* Called at the end of each pass of the loop. */
     void (*flush)(struct serve *s, uint64_t now);
+    /* A message from a peer. */
     void (*message)(
         struct serve *s, uint64_t now, uint64_t from, const dw_msg *m);
+    /* The peer's port refused a connection: its process is down. */
     void (*refused)(struct serve *s, uint64_t now, uint64_t id);
+    /* A planned stop starts. */
     void (*leave)(struct serve *s, uint64_t now);
-    /* Nothing is left that would be cut off. */
+    /* True if the process can exit without cutting off any work. */
     bool (*done)(struct serve *s, uint64_t now);
-    /* The machine stood still for so long. */
-    void (*woke)(struct serve *s, uint64_t now, uint64_t slept_ms);
-    /* Counters and gauges as text. */
+    /* The loop resumed after a pause of paused_ms. */
+    void (*resumed)(struct serve *s, uint64_t now, uint64_t paused_ms);
+    /* Append counters and gauges as text. */
     void (*metrics)(struct serve *s, struct buf *b);
 };
 
-/* A counter or gauge of the metrics address. */
-struct sv_row {
+/* A counter or gauge, served at the metrics address. */
+struct sv_metric {
     const char *name;
     uint64_t value;
 };
@@ -70,27 +78,27 @@
     struct conf *conf;
     const char *conf_path;
     const struct sv_role *role;
-    void *state;
-    uint64_t id;
-    uint64_t seed;
+    void *state;   /* of the role */
+    uint64_t id;   /* of this process, new at each start */
+    uint64_t seed; /* of random choices */
     struct link *link;
-    struct httpc *http; /* the store */
+    struct httpc *http; /* client connections to the store */
     struct kv *kv;
     struct web *metrics_web;
     struct sv_peer *peers;
     uint64_t started_ms;
-    uint64_t woke_ms; /* of the pass before */
-    uint64_t pauses;
+    uint64_t last_pass_ms; /* start of the last pass of the loop */
+    uint64_t pauses;       /* longer than PAUSE_MS */
     bool leaving;
-    uint64_t leave_ms;
-    /* Our entry in the store. */
-    uint64_t lease;
-    bool entering;
-    bool entered;
-    uint64_t keep_ms;
-    uint64_t check_ms;
-    uint64_t conf_look_ms;
-    uint64_t conf_seen; /* when the settings file was written, as read last */
+    uint64_t leave_ms; /* when the stop was requested */
+    /* This process's registration in the store. */
+    uint64_t lease;   /* 0: none */
+    bool registering; /* a write is under way */
+    bool registered;
+    uint64_t renewed_ms;  /* when the last renewal or attempt began */
+    uint64_t verified_ms; /* when the registration was read back last */
+    uint64_t conf_checked_ms;
+    uint64_t conf_mtime_ns; /* of the settings file, as last seen */
     ev_timer tick;
     ev_prepare prepare;
     ev_check check;
@@ -99,12 +107,14 @@
     ev_signal hup;
 };
 
-/* Run until told to leave; the exit code. */
+/* Run until SIGTERM or SIGINT and the planned stop; returns the exit code. */
 int sv_run(struct conf *c, const char *path, const struct sv_role *role);
 
-void sv_add_rows(struct buf *b, const struct sv_row *rows, size_t n);
+/* Append one line "name value" for each metric. */
+void sv_add_metrics(struct buf *b, const struct sv_metric *rows, size_t n);
+/* The peer of this id; if there is none, it is added (add), or NULL. */
 struct sv_peer *sv_peer(struct serve *s, uint64_t id, bool add);
-/* Decode an entry of the store; false if it is none of ours. */
+/* Decode a registration; false if it is malformed or not a registration. */
 bool sv_read_peer(struct sv_peer *out, const char *key, struct str value);
 
 extern const struct sv_role sv_entry;
--- a/test/kv-test.cc
+++ b/test/kv-test.cc
@@ -1,4 +1,4 @@
-/* Calls to the platform's store, against a server in this process. */
+/* The client of the platform's store, against a server in this process. */
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,10 +17,10 @@
     struct web *web = nullptr;
     struct httpc *http = nullptr;
     struct kv *kv = nullptr;
-    int silent = 0; /* requests that get no answer */
-    int asked = 0;
+    int unanswered = 0; /* the first requests, which get no response */
+    int received = 0;
     std::vector<struct web_req *> held;
-    std::vector<kv_status> answers;
+    std::vector<kv_status> statuses;
     uint64_t rev = 0;
 
     Store()
@@ -54,7 +54,7 @@
     {
         Store *s = static_cast<Store *>(ctx);
 
-        if (++s->asked > s->silent) {
+        if (++s->received > s->unanswered) {
             web_reply(r, 200, "application/json",
                 STR("{\"items\":[],\"current_rev\":7}"), 0);
         }
@@ -71,11 +71,11 @@
             std::remove(s->held.begin(), s->held.end(), r), s->held.end());
     }
     static void
-    on_answer(void *ctx, const kv_answer *a)
+    on_answer(void *ctx, const kv_response *a)
     {
         Store *s = static_cast<Store *>(ctx);
 
-        s->answers.push_back(a->status);
+        s->statuses.push_back(a->status);
         s->rev = a->rev;
         ev_break(s->loop, EVBREAK_ALL);
     }
@@ -83,43 +83,43 @@
 
 } // namespace
 
-/* An entry started while the store was silent: its first read hung until its
- * time was over, and the entry had no configuration for a second after the
- * store was back.  The read is sent again meanwhile, and answered once. */
-TEST(Kv, AnUnansweredReadIsSentAgain)
+/* A read sent while the store is unresponsive must not hang until its timeout
+ * after the store has recovered: an entry that starts meanwhile would have no
+ * configuration for a second.  It is resent; its callback is called once. */
+TEST(Kv, ResendsAnUnansweredRead)
 {
     Store s;
 
-    s.silent = 2;
+    s.unanswered = 2;
     kv_range(s.kv, "op/", nullptr, Store::on_answer, &s);
     ev_run(s.loop, 0);
-    ASSERT_EQ(s.answers.size(), 1u);
-    EXPECT_EQ(s.answers[0], KV_OK);
+    ASSERT_EQ(s.statuses.size(), 1u);
+    EXPECT_EQ(s.statuses[0], KV_OK);
     EXPECT_EQ(s.rev, 7u);
-    EXPECT_EQ(s.asked, 3);
-    EXPECT_EQ(kv_stats(s.kv)->again, 2u);
+    EXPECT_EQ(s.received, 3);
+    EXPECT_EQ(kv_stats(s.kv)->resent, 2u);
 }
 
-TEST(Kv, ASilentStoreIsToldOnce)
+TEST(Kv, ReportsAnUnresponsiveStoreOnce)
 {
     Store s;
 
-    s.silent = 1000;
+    s.unanswered = 1000;
     kv_range(s.kv, "op/", nullptr, Store::on_answer, &s);
     ev_run(s.loop, 0);
-    ASSERT_EQ(s.answers.size(), 1u);
-    EXPECT_EQ(s.answers[0], KV_UNKNOWN);
-    EXPECT_EQ(s.asked, 4);
+    ASSERT_EQ(s.statuses.size(), 1u);
+    EXPECT_EQ(s.statuses[0], KV_UNKNOWN);
+    EXPECT_EQ(s.received, 4);
 }
 
-/* Waiting is a watch's purpose: sent again it would cost a call each time. */
-TEST(Kv, AWatchIsNotSentAgain)
+/* A watch is meant to wait; resends would count against the store's rate. */
+TEST(Kv, DoesNotResendAWatch)
 {
     Store s;
 
-    s.silent = 1;
+    s.unanswered = 1;
     kv_watch(s.kv, "op/", 1, 400, Store::on_answer, &s);
     ev_run(s.loop, 0);
-    ASSERT_EQ(s.answers.size(), 1u);
-    EXPECT_EQ(s.asked, 1);
+    ASSERT_EQ(s.statuses.size(), 1u);
+    EXPECT_EQ(s.received, 1);
 }
--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -1,4 +1,4 @@
-/* Messages of the platform: tables of cases. */
+/* Decoding of the platform's messages, as tables of cases. */
 #include <gtest/gtest.h>
 
 #include <string>
@@ -16,7 +16,7 @@
 #define JOB(steps)                                                            \
     "{\"task_spec\":\"x\",\"best_effort\":true,\"steps\":" steps "}"
 
-static const JobCase jobs[] = {
+static const JobCase job_cases[] = {
     {JOB("[" STEP "]"), WIRE_OK, ""},
     {JOB("[{\"count\":1}]"), WIRE_OK, ""},
     {JOB("[{\"count\":1,\"gang\":false,\"requires\":\"\"}]"), WIRE_OK, ""},
@@ -45,9 +45,9 @@
         "best_effort"},
 };
 
-TEST(Wire, EachJobIsTakenOrNamesThePlace)
+TEST(Wire, AcceptsAJobOrNamesTheInvalidField)
 {
-    for (auto &c : jobs) {
+    for (auto &c : job_cases) {
         wire_job j;
         err e = {""};
 
@@ -59,12 +59,12 @@
     }
 }
 
-struct BeatCase {
+struct HeartbeatCase {
     const char *text;
     bool ok;
 };
 
-static const BeatCase beats[] = {
+static const HeartbeatCase heartbeat_cases[] = {
     {"{\"service\":\"s\",\"state\":\"ready\",\"seq_no\":4,\"born\":17,"
      "\"free_capacity\":{\"cpu\":16000,\"mem_mb\":32768,\"gpus\":0}}",
         true},
@@ -85,18 +85,18 @@
     {"", false},
 };
 
-TEST(Wire, AnnouncementsOfOtherWritersNameNoWorker)
+TEST(Wire, RejectsMalformedHeartbeats)
 {
-    for (auto &c : beats) {
-        wire_beat b;
+    for (auto &c : heartbeat_cases) {
+        wire_heartbeat b;
         err e = {""};
 
-        EXPECT_EQ(wire_read_beat(&b, str_of(c.text), &e) == WIRE_OK, c.ok)
+        EXPECT_EQ(wire_read_heartbeat(&b, str_of(c.text), &e) == WIRE_OK, c.ok)
             << c.text;
     }
 }
 
-TEST(Wire, ABadRouteIsLeftOutAndTheOthersHold)
+TEST(Wire, LeavesOutAnInvalidRouteAndKeepsTheOthers)
 {
     rt_table t;
     size_t left_out;
@@ -119,9 +119,9 @@
     rt_free(&t);
 }
 
-TEST(Wire, ALookShowsRunsAndEnds)
+TEST(Wire, ReadsRunsAndOutcomesOfAPoll)
 {
-    wire_look l;
+    wire_poll l;
     err e = {""};
     const char *text =
         "{\"clock_ms\":9,\"born\":3,\"running\":["
@@ -129,16 +129,17 @@
         "\"finished\":[[58,\"5c0e7a21d94b36f8.0.0.9\",1,\"done\",\"\"],"
         "[59,\"5c0e7a21d94b36f8.0.0.8\",1,\"vanished\",\"\"]]}";
 
-    ASSERT_EQ(wire_read_look(&l, str_of(text), &e), WIRE_OK);
-    ASSERT_EQ(l.look.running_count, 1u);
+    ASSERT_EQ(wire_read_poll(&l, str_of(text), &e), WIRE_OK);
+    ASSERT_EQ(l.result.running_count, 1u);
     EXPECT_EQ(l.running[0].key.job, 0x5c0e7a21d94b36f8u);
     EXPECT_EQ(l.running[0].key.index, 17u);
     EXPECT_EQ(l.running[0].percent, 41u);
-    ASSERT_EQ(l.look.end_count, 2u);
-    EXPECT_EQ(l.ends[0].how, DW_END_DONE);
-    EXPECT_EQ(l.ends[1].number, 59u); /* still taken note of */
-    EXPECT_EQ(l.ends[1].key.job, 0u);
-    wire_look_free(&l);
+    ASSERT_EQ(l.result.end_count, 2u);
+    EXPECT_EQ(l.outcomes[0].how, DW_END_DONE);
+    /* An unknown outcome is kept, without a key, to be acknowledged. */
+    EXPECT_EQ(l.outcomes[1].number, 59u);
+    EXPECT_EQ(l.outcomes[1].key.job, 0u);
+    wire_poll_free(&l);
 }
 
 static const struct {
@@ -152,7 +153,7 @@
     {"", false},
 };
 
-TEST(Wire, JobIds)
+TEST(Wire, AcceptsOnlyLowerCaseJobIds)
 {
     for (auto &c : ids) {
         uint64_t id;
