--- a/entryd-int.h
+++ b/entryd-int.h
@@ -73,13 +73,13 @@
 
 /* --- entrystore.c: operator state, members, run time estimates --- */
 /* Start following the store. */
-void es_open(struct entry *e);
+void en_open(struct entry *e);
 /* Handle another entry's request for, or report of, operator state. */
-void es_operator_state(struct entry *e, uint64_t from, const dw_news *msg);
+void en_operator_state(struct entry *e, uint64_t from, const dw_news *msg);
 /* Request operator state from a few other entries. */
-void es_query_peers(struct entry *e);
+void en_query_peers(struct entry *e);
 /* Save the run time estimates to the store, if due, for entries that start
  * later. */
-void es_save_estimates(struct entry *e, uint64_t now);
+void en_save_estimates(struct entry *e, uint64_t now);
 
 #endif
--- a/entryd.c
+++ b/entryd.c
@@ -104,7 +104,7 @@
     ev_set_priority(&e->pass_check, EV_MAXPRI);
     e->pass_check.data = e;
     ev_check_start(s->loop, &e->pass_check);
-    es_open(e);
+    en_open(e);
     return 0;
 }
 
@@ -203,10 +203,10 @@
     co_tick(&e->coord, now);
     lg_probe(&e->lag, proc_now_us(), proc_now_us() - start_us,
         FL_CHOSEN_MAX + co_running(&e->coord));
-    es_save_estimates(e, now);
+    en_save_estimates(e, now);
     log_load(e, now);
     if (nw_must_ask(&e->news, now)) {
-        es_query_peers(e);
+        en_query_peers(e);
     }
     if (s->leaving && e->accepting &&
         now - s->leave_ms > ACCEPT_AFTER_TERM_MS) {
@@ -248,7 +248,7 @@
         rl_replies(&e->relay, now, from, &m->dw_msg_u.relayed);
     }
     else if (m->type == DW_NEWS) {
-        es_operator_state(e, from, &m->dw_msg_u.news);
+        en_operator_state(e, from, &m->dw_msg_u.news);
     }
 }
 
--- a/entrystore.c
+++ b/entrystore.c
@@ -115,7 +115,7 @@
 #define QUERIES_MAX 2U
 
 void
-es_query_peers(struct entry *e)
+en_query_peers(struct entry *e)
 {
     struct sv_peer *p;
     uint32_t queries = 0;
@@ -133,7 +133,7 @@
 }
 
 void
-es_operator_state(struct entry *e, uint64_t from, const dw_news *msg)
+en_operator_state(struct entry *e, uint64_t from, const dw_news *msg)
 {
     dw_msg answer;
 
@@ -222,7 +222,7 @@
 }
 
 void
-es_save_estimates(struct entry *e, uint64_t now)
+en_save_estimates(struct entry *e, uint64_t now)
 {
     if (gs_keep_due(&e->coord.times, now)) {
         kv_lease_grant(e->s->kv, GS_KEEP_MS, on_estimates_lease, e);
@@ -316,7 +316,7 @@
     members_snapshot, members_change, members_availability};
 
 void
-es_open(struct entry *e)
+en_open(struct entry *e)
 {
     e->news.answers = true;
     e->operators = follow_new(
