--- a/agentd.c
+++ b/agentd.c
@@ -71,7 +71,7 @@
 }
 
 static enum rn_start_result
-start_result(const struct httpc_done *d)
+start_result(const struct httpc_result *d)
 {
     if (d->status == HTTPC_NOT_SENT) {
         return RN_START_UNREACHED;
@@ -79,7 +79,7 @@
     if (d->status != HTTPC_OK) {
         return RN_START_LOST;
     }
-    switch (d->code) {
+    switch (d->http_status) {
     case 200:
         return RN_START_OK;
     case 409:
@@ -95,7 +95,7 @@
 }
 
 static void
-on_started(void *ctx, const struct httpc_done *d)
+on_started(void *ctx, const struct httpc_result *d)
 {
     struct run_call *c = ctx;
     enum rn_start_result result = start_result(d);
@@ -104,7 +104,7 @@
         log_event(LOG_LEVEL_INFO, "start_failed",
             "job=%016" PRIx64 " task=%" PRIu64 " run=%" PRIu64
             " code=%ld ms=%" PRIu64 " lost=%d body=\"%.*s\"",
-            c->key.job, c->key.index, c->key.run, d->code,
+            c->key.job, c->key.index, c->key.run, d->http_status,
             proc_now() - c->asked_ms, result == RN_START_LOST,
             (int)num_min(d->body.n, 100), d->body.n > 0 ? d->body.p : "");
     }
@@ -126,12 +126,12 @@
 }
 
 static void
-on_stopped(void *ctx, const struct httpc_done *d)
+on_stopped(void *ctx, const struct httpc_result *d)
 {
     struct run_call *c = ctx;
 
     rn_stopped(&c->w->agent.runner, proc_now(), &c->key,
-        d->status == HTTPC_OK && d->code == 200);
+        d->status == HTTPC_OK && d->http_status == 200);
     free(c);
 }
 
@@ -147,13 +147,13 @@
 }
 
 static void
-on_looked(void *ctx, const struct httpc_done *d)
+on_looked(void *ctx, const struct httpc_result *d)
 {
     struct run_call *c = ctx;
     struct wire_look l = {0};
     struct err e = {""};
 
-    if (d->status == HTTPC_OK && d->code == 200 &&
+    if (d->status == HTTPC_OK && d->http_status == 200 &&
         wire_read_look(&l, d->body, &e) != WIRE_OK) {
         log_event(LOG_LEVEL_WARN, "look_unreadable", "error=\"%s\"", e.msg);
     }
@@ -232,7 +232,7 @@
 {
     struct worker *w = ctx;
 
-    link_drop(w->s->link, to);
+    link_disconnect(w->s->link, to);
 }
 
 static void
--- a/back.c
+++ b/back.c
@@ -44,25 +44,25 @@
 /* --- the backend server --- */
 
 static dw_tstate
-state_of(const struct httpc_done *d)
+state_of(const struct httpc_result *d)
 {
     switch (d->status) {
     case HTTPC_NOT_SENT:
         return DW_T_NOT_STARTED;
-    case HTTPC_BROKEN:
+    case HTTPC_CONN_LOST:
     case HTTPC_TIMEOUT:
         return DW_T_UNKNOWN;
     case HTTPC_OK:
         break;
     }
-    if (d->code == STATUS_OK) {
+    if (d->http_status == STATUS_OK) {
         return DW_T_DONE;
     }
-    return d->code == STATUS_GONE ? DW_T_STOPPED : DW_T_ERROR;
+    return d->http_status == STATUS_GONE ? DW_T_STOPPED : DW_T_ERROR;
 }
 
 static void
-on_ran(void *ctx, const struct httpc_done *d)
+on_ran(void *ctx, const struct httpc_result *d)
 {
     struct run *r = ctx;
     struct back *b = r->b;
@@ -70,11 +70,12 @@
 
     if (d->status != HTTPC_OK) {
         log_event(LOG_LEVEL_DEBUG, "backend_failed",
-            "ref=%016" PRIx64 " error=\"%s\"", ref, d->message);
+            "ref=%016" PRIx64 " error=\"%s\"", ref, d->error);
     }
     HASH_DEL(b->runs, r);
     free(r);
-    b->events->ended(b->ctx, ref, state_of(d), (uint32_t)d->code, d->body);
+    b->events->ended(
+        b->ctx, ref, state_of(d), (uint32_t)d->http_status, d->body);
 }
 
 static bool
@@ -119,7 +120,7 @@
     call.connect_timeout_ms = 1000;
     call.body_max = RESULT_MAX;
     call.done = on_ran;
-    call.ready = on_ready;
+    call.before_send = on_ready;
     call.ctx = r;
     httpc_start(b->http, &call);
 }
@@ -129,12 +130,11 @@
 /* --- the worker --- */
 
 static void
-ignore(void *ctx, const struct httpc_done *d)
+ignore(void *ctx, const struct httpc_result *d)
 {
     (void)ctx;
     if (d->status != HTTPC_OK) {
-        log_event(
-            LOG_LEVEL_DEBUG, "worker_failed", "error=\"%s\"", d->message);
+        log_event(LOG_LEVEL_DEBUG, "worker_failed", "error=\"%s\"", d->error);
     }
 }
 
@@ -187,7 +187,7 @@
 }
 
 static void
-on_usage(void *ctx, const struct httpc_done *d)
+on_usage(void *ctx, const struct httpc_result *d)
 {
     struct back *b = ctx;
     json_t *o = NULL;
@@ -195,7 +195,7 @@
     json_t *row;
 
     b->polling = false;
-    if (d->status == HTTPC_OK && d->code == STATUS_OK) {
+    if (d->status == HTTPC_OK && d->http_status == STATUS_OK) {
         o = json_loadb(d->body.p, d->body.n, 0, NULL);
     }
     if (o != NULL) {
--- a/carry.c
+++ b/carry.c
@@ -58,7 +58,7 @@
     static const enum txn_status meaning[] = {
         [STORE_OK] = TXN_OK,
         [STORE_CONFLICT] = TXN_CONFLICT,
-        [STORE_DOWN] = TXN_UNKNOWN,
+        [STORE_UNREACHABLE] = TXN_UNKNOWN,
         [STORE_UNKNOWN] = TXN_UNKNOWN,
     };
     struct store_call *c = ctx;
--- a/dwload.c
+++ b/dwload.c
@@ -258,7 +258,7 @@
 }
 
 static void
-on_answer(void *ctx, const struct httpc_done *d)
+on_answer(void *ctx, const struct httpc_result *d)
 {
     struct answer_ctx *a = ctx;
     json_t *o = json_loadb(d->body.p, d->body.n, 0, NULL);
@@ -339,7 +339,7 @@
 }
 
 static void
-ignore(void *ctx, const struct httpc_done *d)
+ignore(void *ctx, const struct httpc_result *d)
 {
     struct load *l = ctx;
 
--- a/entryd.c
+++ b/entryd.c
@@ -41,7 +41,7 @@
 
     /* Callers that connect anew sooner would come back here. */
     if (lg_is_out(&e->lag) && ++e->missed_looks == LOOKS_TO_LEAVE) {
-        web_send_elsewhere(e->callers, true);
+        web_set_close_after_reply(e->callers, true);
     }
     ec_reply(r, is_ready(e) ? 200 : 503, "{}");
 }
@@ -57,7 +57,7 @@
 
 static int
 open_web(struct entry *e, struct web **out, const char *endpoint,
-    web_handle_fn handle, web_gone_fn gone, struct err *err)
+    web_handle_fn handle, web_disconnect_fn gone, struct err *err)
 {
     struct conf_endpoint at;
     struct web_cfg cfg = {at.addr, 0, CALLERS_MAX, BODY_MAX, IDLE_S};
@@ -168,7 +168,7 @@
     }
     e->was_out = out;
     e->missed_looks = 0;
-    web_send_elsewhere(e->callers, false);
+    web_set_close_after_reply(e->callers, false);
     log_event(out ? LOG_LEVEL_WARN : LOG_LEVEL_INFO,
         out ? "behind" : "caught_up",
         "busy=%.2f item_us=%.1f usual_us=%.1f waiting=%zu", e->lag.busy,
--- a/frame.c
+++ b/frame.c
@@ -31,31 +31,33 @@
 }
 
 static void
-put_mark(char *at, size_t n)
+put_record_mark(char *at, size_t n)
 {
     uint32_t mark = htonl((uint32_t)n | FRAME_LAST);
 
     memcpy(at, &mark, sizeof(mark));
 }
 
-/* Room for an RPC header before the body. */
-#define HEADER_MAX 64U
+/* Space reserved for the RPC header before the body. */
+#define RPC_HEADER_MAX_BYTES 64U
 
 static struct frame *
 new_frame(uint64_t now, size_t body)
 {
-    struct frame *f = dw_alloc(sizeof(*f) + 4 + HEADER_MAX + body);
+    struct frame *f =
+        dw_alloc(sizeof(*f) + FRAME_MARK_SIZE + RPC_HEADER_MAX_BYTES + body);
 
     f->next = NULL;
-    f->made_ms = now;
-    f->echo_at = 0;
-    f->done = 0;
-    f->n = 0;
+    f->created_ms = now;
+    f->echo_offset = 0;
+    f->written = 0;
+    f->size = 0;
     return f;
 }
 
-/* The echo stamp lies behind from, to and clock_ms. */
-#define ECHO_OFFSET 24U
+/* Offset of echo_ms in an encoded dw_envelope: it follows from, to and
+ * clock_ms, 8 bytes each. */
+#define ENVELOPE_ECHO_OFFSET 24U
 
 struct frame *
 frame_message(
@@ -68,25 +70,26 @@
 
     env.from = from;
     env.to = to;
-    /* What arrives by datagram proves nothing of a connection, so a peer
-     * must not echo a clock it has from there. */
+    /* A datagram does not confirm a connection, so a peer must not echo a
+     * clock value that it received in one. */
     env.clock_ms = frame_may_be_datagram(msg->type) ? 0 : now;
     env.echo_ms = 0;
     env.msg = *msg;
     f = new_frame(now, xdr_sizeof((xdrproc_t)xdr_dw_envelope, &env));
-    xdrmem_create(&x, f->bytes + 4,
-        (u_int)(HEADER_MAX + xdr_sizeof((xdrproc_t)xdr_dw_envelope, &env)),
+    xdrmem_create(&x, f->bytes + FRAME_MARK_SIZE,
+        (u_int)(RPC_HEADER_MAX_BYTES +
+                xdr_sizeof((xdrproc_t)xdr_dw_envelope, &env)),
         XDR_ENCODE);
     ok = encode_call(&x, xid, (uint32_t)msg->type);
-    f->echo_at = 4 + xdr_getpos(&x) + ECHO_OFFSET;
+    f->echo_offset = FRAME_MARK_SIZE + xdr_getpos(&x) + ENVELOPE_ECHO_OFFSET;
     ok = ok && xdr_dw_envelope(&x, &env);
-    f->n = 4 + xdr_getpos(&x);
+    f->size = FRAME_MARK_SIZE + xdr_getpos(&x);
     xdr_destroy(&x);
-    if (!ok || f->n > LINK_RECORD_MAX) {
+    if (!ok || f->size > LINK_RECORD_MAX_BYTES) {
         free(f);
         return NULL;
     }
-    put_mark(f->bytes, f->n - 4);
+    put_record_mark(f->bytes, f->size - FRAME_MARK_SIZE);
     return f;
 }
 
@@ -96,11 +99,12 @@
     struct frame *f = new_frame(now, 0);
     XDR x;
 
-    xdrmem_create(&x, f->bytes + 4, HEADER_MAX, XDR_ENCODE);
+    xdrmem_create(
+        &x, f->bytes + FRAME_MARK_SIZE, RPC_HEADER_MAX_BYTES, XDR_ENCODE);
     encode_call(&x, xid, DW_HELLO);
-    f->n = 4 + xdr_getpos(&x);
+    f->size = FRAME_MARK_SIZE + xdr_getpos(&x);
     xdr_destroy(&x);
-    put_mark(f->bytes, f->n - 4);
+    put_record_mark(f->bytes, f->size - FRAME_MARK_SIZE);
     return f;
 }
 
@@ -121,10 +125,11 @@
     reply.acpted_rply.ar_stat = SUCCESS;
     reply.acpted_rply.ar_results.where = (caddr_t)&hello;
     reply.acpted_rply.ar_results.proc = (xdrproc_t)xdr_dw_hello;
-    xdrmem_create(&x, out + 4, (u_int)(cap - 4), XDR_ENCODE);
+    xdrmem_create(
+        &x, out + FRAME_MARK_SIZE, (u_int)(cap - FRAME_MARK_SIZE), XDR_ENCODE);
     xdr_replymsg(&x, &reply);
     n = xdr_getpos(&x);
     xdr_destroy(&x);
-    put_mark(out, n);
-    return n + 4;
+    put_record_mark(out, n);
+    return n + FRAME_MARK_SIZE;
 }
--- a/frame.h
+++ b/frame.h
@@ -1,10 +1,11 @@
 /*
- * frame - messages as ONC RPC records, ready to be written
+ * frame - encode messages as ONC RPC records
  *
- * A record is a call without a reply: its mark, an RPC header and an envelope
- * in XDR.  Only a hello has a reply, which proves the connection.
+ * A record is a call without a reply: the record mark, an RPC header and a
+ * dw_envelope in XDR.  Only HELLO has a reply, which confirms that the
+ * connection works in both directions.
  *
- * Source: RFC 5531, section 11 for the mark.
+ * Source: RFC 5531, section 11 for the record mark.
  */
 #ifndef FRAME_H
 #define FRAME_H
@@ -16,25 +17,32 @@
 #include "link.h"
 #include "proto.h"
 
-/* Set in the mark of a record's last fragment; each record is one. */
+/* Bytes of a record mark. */
+#define FRAME_MARK_SIZE 4U
+/* Set in the mark of a record's last fragment; each record has only one. */
 #define FRAME_LAST 0x80000000U
 
+/* An encoded record in a send queue. */
 struct frame {
     struct frame *next;
-    uint64_t made_ms;
-    size_t echo_at; /* where the stamp goes; 0 in a HELLO */
-    size_t n;
-    size_t done;
+    uint64_t created_ms; /* on this process's clock, proc_now() */
+    size_t echo_offset;  /* of the echoed timestamp in bytes; 0 in a HELLO */
+    size_t size;         /* of the record in bytes, mark included */
+    size_t written;      /* bytes already sent */
     char bytes[];
 };
 
-/* May go by datagram, as what it says is told again soon. */
+/* True if a message may be sent as a datagram: its content is sent again soon,
+ * so that a loss does no harm. */
 bool frame_may_be_datagram(dw_mtype type);
-/* NULL if it is too large; else free(3) it. */
+/* Encode msg; free(3) the result.  now is the sender's clock in ms.  NULL if
+ * it cannot be encoded or is longer than LINK_RECORD_MAX_BYTES. */
 struct frame *frame_message(
     uint64_t from, uint64_t to, uint64_t now, uint32_t xid, const dw_msg *msg);
+/* Encode a HELLO call; free(3) the result. */
 struct frame *frame_hello(uint64_t now, uint32_t xid);
-/* Bytes written to out, which wants some 80. */
+/* Encode the reply to the HELLO call xid into out, of capacity cap, which
+ * needs about 80 bytes.  Returns the size of the record. */
 size_t frame_hello_reply(
     uint64_t self, uint64_t now, uint32_t xid, char *out, size_t cap);
 
--- a/hist.c
+++ b/hist.c
@@ -39,7 +39,7 @@
 }
 
 uint64_t
-hist_at(const struct hist *h, uint32_t permille)
+hist_quantile(const struct hist *h, uint32_t permille)
 {
     uint64_t want = (h->count * permille + 999) / 1000;
     uint64_t seen = 0;
@@ -62,6 +62,6 @@
         h->count, name, h->sum_ms);
     for (size_t i = 0; i < sizeof(quantiles) / sizeof(quantiles[0]); i++) {
         buf_addf(out, "%s_ms{quantile=\"0.%03u\"} %" PRIu64 "\n", name,
-            quantiles[i], hist_at(h, quantiles[i]));
+            quantiles[i], hist_quantile(h, quantiles[i]));
     }
 }
--- a/hist.h
+++ b/hist.h
@@ -26,7 +26,7 @@
 
 void hist_add(struct hist *h, uint64_t ms);
 /* The upper bound of the bucket that holds so many permille of all. */
-uint64_t hist_at(const struct hist *h, uint32_t permille);
+uint64_t hist_quantile(const struct hist *h, uint32_t permille);
 /* Lines NAME_count, NAME_sum_ms, NAME_ms{quantile="..."}. */
 void hist_format(const struct hist *h, const char *name, struct buf *out);
 
--- a/httpc.c
+++ b/httpc.c
@@ -22,7 +22,7 @@
     struct buf in;
     size_t body_max;
     httpc_done_fn done;
-    httpc_ready_fn ready;
+    httpc_before_send_fn ready;
     httpc_data_fn data;
     void *ctx;
     bool went;
@@ -66,19 +66,19 @@
     if (!r->went) {
         return HTTPC_NOT_SENT;
     }
-    return code == CURLE_OPERATION_TIMEDOUT ? HTTPC_TIMEOUT : HTTPC_BROKEN;
+    return code == CURLE_OPERATION_TIMEDOUT ? HTTPC_TIMEOUT : HTTPC_CONN_LOST;
 }
 
 static void
 finish(struct httpc_req *r, CURLcode code)
 {
-    struct httpc_done d;
+    struct httpc_result d;
 
     d.status = status_of(r, code);
-    d.code = 0;
-    curl_easy_getinfo(r->easy, CURLINFO_RESPONSE_CODE, &d.code);
+    d.http_status = 0;
+    curl_easy_getinfo(r->easy, CURLINFO_RESPONSE_CODE, &d.http_status);
     d.body = buf_str(&r->in);
-    d.message = r->error[0] != '\0' ? r->error : curl_easy_strerror(code);
+    d.error = r->error[0] != '\0' ? r->error : curl_easy_strerror(code);
     r->done(r->ctx, &d);
     free_req(r);
 }
@@ -282,7 +282,7 @@
     r->h = h;
     r->easy = curl_easy_init();
     r->done = call->done;
-    r->ready = call->ready;
+    r->ready = call->before_send;
     r->data = call->data;
     r->ctx = call->ctx;
     r->body_max = call->body_max > 0 ? call->body_max : BODY_MAX;
--- a/httpc.h
+++ b/httpc.h
@@ -19,21 +19,21 @@
 
 enum httpc_status {
     HTTPC_OK,
-    HTTPC_NOT_SENT, /* refused or prevented: nothing has left */
-    HTTPC_BROKEN,   /* it may have arrived */
-    HTTPC_TIMEOUT   /* it may have arrived */
+    HTTPC_NOT_SENT,  /* refused or prevented: nothing has left */
+    HTTPC_CONN_LOST, /* it may have arrived */
+    HTTPC_TIMEOUT    /* it may have arrived */
 };
 
-struct httpc_done {
+struct httpc_result {
     enum httpc_status status;
-    long code; /* HTTP status, 0 if none */
+    long http_status; /* HTTP status, 0 if none */
     struct str body;
-    const char *message; /* of the library, for the log */
+    const char *error; /* of the library, for the log */
 };
 
-typedef void (*httpc_done_fn)(void *ctx, const struct httpc_done *done);
+typedef void (*httpc_done_fn)(void *ctx, const struct httpc_result *done);
 /* Called right before the request is written; false keeps it from going. */
-typedef bool (*httpc_ready_fn)(void *ctx);
+typedef bool (*httpc_before_send_fn)(void *ctx);
 /* Called with each piece of the answer, in place of keeping it. */
 typedef void (*httpc_data_fn)(void *ctx, struct str piece);
 
@@ -46,8 +46,8 @@
     uint32_t connect_timeout_ms; /* 0: the library's */
     size_t body_max;             /* of the answer; 0: 8 MB */
     httpc_done_fn done;
-    httpc_ready_fn ready; /* may be NULL */
-    httpc_data_fn data;   /* may be NULL */
+    httpc_before_send_fn before_send; /* may be NULL */
+    httpc_data_fn data;               /* may be NULL */
     void *ctx;
 };
 
--- a/link.c
+++ b/link.c
@@ -16,43 +16,45 @@
 #include "log.h"
 #include "proc.h"
 
-#define DATAGRAM_MAX 1200U
-#define QUEUE_MAX (16U << 20)
-/* A stamp of the peer's clock older than this is renewed before sending. */
-#define ECHO_MS 1000U
-/* A message that could not be written for this long is dropped. */
-#define WAIT_MS 1500U
-/* Sent data unproved for this long makes us ask ... */
-#define DOUBT_MS 300U
-/* ... and without an answer the connection is replaced. */
-#define SILENT_MS 1000U
-#define CONNECT_MS 1000U
-/* A connection nobody used for this long is closed. */
-#define IDLE_MS 60000U
-#define REFUSED_PAUSE_MS 200U
-#define TICK 0.1
-
+#define DATAGRAM_MAX_BYTES 1200U
+#define QUEUE_MAX_BYTES (16U << 20)
+/* A peer's clock value older than this is requested again before sending. */
+#define ECHO_AGE_MAX_MS 1000U
+/* A message that stayed in the send queue for longer is dropped. */
+#define QUEUE_AGE_MAX_MS 1500U
+/* With a message unconfirmed for this long a HELLO is sent ... */
+#define PROBE_AFTER_MS 300U
+/* ... and without a reply in this time the connection is closed. */
+#define HELLO_TIMEOUT_MS 1000U
+#define CONNECT_TIMEOUT_MS 1000U
+/* A connection on which nothing was sent for this long is closed. */
+#define IDLE_TIMEOUT_MS 60000U
+/* No new attempt is made for this long after a refused connection. */
+#define REFUSED_RETRY_MS 200U
+#define TICK_S 0.1
+
+/* CONN_HELLO: connected, the first HELLO has no reply yet. */
 enum conn_state { CONN_CLOSED, CONN_CONNECTING, CONN_HELLO, CONN_READY };
 
-/* What we know of, and have open to, one other process. */
+/* Another process and the outgoing connection to it. */
 struct peer {
     uint64_t id;
     enum conn_state state;
     int fd;
     ev_io io;
     struct link *link;
-    uint64_t since_ms;
-    uint64_t hello_ms; /* an unanswered HELLO; 0 if none */
+    uint64_t connect_started_ms; /* start of the connection attempt */
+    uint64_t hello_sent_ms;      /* a HELLO without a reply; 0 if none */
     uint32_t hello_xid;
-    uint64_t used_ms;
-    uint64_t unproved_ms; /* oldest send not known to have arrived */
-    uint64_t their_clock;
-    uint64_t clock_at_ms; /* when we learned it */
-    uint64_t refused_ms;
-    struct frame *head; /* whole frames, first partly written */
+    uint64_t last_send_ms;     /* last message queued */
+    uint64_t unconfirmed_ms;   /* oldest message not confirmed; 0 if none */
+    uint64_t peer_clock_ms;    /* newest clock value received */
+    uint64_t peer_clock_at_ms; /* receipt of the newest peer_clock_ms */
+    uint64_t refused_at_ms;    /* last refused connection; 0 if none */
+    struct frame *head; /* send queue; the first may be partly written */
     struct frame **tail;
-    size_t queued;
-    struct buf in;
+    size_t queued_bytes; /* in the send queue */
+    struct buf in;       /* received, not yet parsed */
     UT_hash_handle hh;
 };
 
@@ -61,7 +63,7 @@
     int fd;
     ev_io io;
     struct link *link;
-    struct buf in;
+    struct buf in; /* received, not yet parsed */
     struct inbound *prev;
     struct inbound *next;
 };
@@ -71,15 +73,15 @@
     uint64_t self;
     const struct link_events *events;
     void *ctx;
-    int tcp;
-    int udp;
+    int tcp_fd;
+    int udp_fd;
     ev_io accept_io;
     ev_io udp_io;
     ev_timer timer;
-    uint32_t xid;
+    uint32_t xid; /* of the newest call */
     struct peer *peers;
     struct inbound *inbounds;
-    size_t backlog;
+    size_t queued_bytes; /* in the send queues of all peers */
     struct link_stats stats;
 };
 
@@ -90,9 +92,9 @@
 }
 
 size_t
-link_backlog(const struct link *l)
+link_queued_bytes(const struct link *l)
 {
-    return l->backlog;
+    return l->queued_bytes;
 }
 
 /* --- peers --- */
@@ -117,7 +119,7 @@
 }
 
 static void
-drop_queue(struct peer *p)
+discard_queue(struct peer *p)
 {
     while (p->head != NULL) {
         struct frame *f = p->head;
@@ -126,8 +128,8 @@
         free(f);
     }
     p->tail = &p->head;
-    p->link->backlog -= p->queued;
-    p->queued = 0;
+    p->link->queued_bytes -= p->queued_bytes;
+    p->queued_bytes = 0;
 }
 
 static void
@@ -139,10 +141,10 @@
     }
     p->fd = -1;
     p->state = CONN_CLOSED;
-    p->hello_ms = 0;
-    p->unproved_ms = 0;
+    p->hello_sent_ms = 0;
+    p->unconfirmed_ms = 0;
     p->in.n = 0;
-    drop_queue(p);
+    discard_queue(p);
 }
 
 static void
@@ -155,7 +157,7 @@
 }
 
 static void
-want_write(struct peer *p, bool on)
+set_write_events(struct peer *p, bool on)
 {
     int events = on ? EV_READ | EV_WRITE : EV_READ;
 
@@ -175,8 +177,8 @@
     if (f->next == NULL) {
         p->tail = &f->next;
     }
-    p->queued += f->n;
-    p->link->backlog += f->n;
+    p->queued_bytes += f->size;
+    p->link->queued_bytes += f->size;
 }
 
 static void
@@ -184,8 +186,8 @@
 {
     *p->tail = f;
     p->tail = &f->next;
-    p->queued += f->n;
-    p->link->backlog += f->n;
+    p->queued_bytes += f->size;
+    p->link->queued_bytes += f->size;
 }
 
 static void
@@ -197,8 +199,8 @@
     if (p->head == NULL) {
         p->tail = &p->head;
     }
-    p->queued -= f->n;
-    p->link->backlog -= f->n;
+    p->queued_bytes -= f->size;
+    p->link->queued_bytes -= f->size;
     free(f);
 }
 
@@ -207,10 +209,10 @@
 {
     struct frame *f;
 
-    if (p->hello_ms != 0) {
+    if (p->hello_sent_ms != 0) {
         return;
     }
-    p->hello_ms = now;
+    p->hello_sent_ms = now;
     p->hello_xid = ++p->link->xid;
     f = frame_hello(proc_now(), p->hello_xid);
     p->link->stats.hellos++;
@@ -223,43 +225,46 @@
 }
 
 /*
- * May the first frame go?  A message carries the newest stamp of the peer's
- * clock at the moment it is written; without a fresh one a HELLO goes first
- * and the message waits for its reply.  A message that waited long here is
- * dropped, as its stamp would make it look younger than it is.
+ * True if the first frame of the queue can be written now.  A message carries
+ * the peer's newest clock value, stored at the moment of writing; if that is
+ * too old, a HELLO is sent first and the message waits for its reply.  A
+ * message that waited long in the queue is dropped instead, because the echoed
+ * timestamp would make it appear younger than it is.
  */
 static bool
-prepare_head(struct peer *p, uint64_t now)
+prepare_first(struct peer *p, uint64_t now)
 {
     struct frame *f = p->head;
-    uint64_t stamp;
+    uint64_t echo;
 
-    if (f->echo_at == 0 || f->done > 0) {
+    if (f->echo_offset == 0 || f->written > 0) {
         return true;
     }
-    if (p->state != CONN_READY || now - p->clock_at_ms > ECHO_MS) {
-        if (p->hello_ms == 0) {
+    if (p->state != CONN_READY ||
+        now - p->peer_clock_at_ms > ECHO_AGE_MAX_MS) {
+        if (p->hello_sent_ms == 0) {
             send_hello(p, now, true);
             return true;
         }
         return false;
     }
-    stamp = htobe64(p->their_clock);
-    memcpy(f->bytes + f->echo_at, &stamp, sizeof(stamp));
+    echo = htobe64(p->peer_clock_ms);
+    memcpy(f->bytes + f->echo_offset, &echo, sizeof(echo));
     return true;
 }
 
 static void
-drop_old(struct peer *p, uint64_t now)
+drop_expired(struct peer *p, uint64_t now)
 {
-    while (p->head != NULL && p->head->echo_at != 0 && p->head->done == 0 &&
-           now - p->head->made_ms > WAIT_MS) {
+    while (p->head != NULL && p->head->echo_offset != 0 &&
+           p->head->written == 0 &&
+           now - p->head->created_ms > QUEUE_AGE_MAX_MS) {
         p->link->stats.dropped_old++;
         pop_front(p);
     }
 }
 
-/* Write what the socket takes. */
+/* Write frames until the socket would block. */
 static void
 flush_peer(struct peer *p)
 {
@@ -268,35 +273,36 @@
         ssize_t n;
         uint64_t now = proc_now();
 
-        drop_old(p, now);
-        if (p->head == NULL || !prepare_head(p, now)) {
+        drop_expired(p, now);
+        if (p->head == NULL || !prepare_first(p, now)) {
             break;
         }
         f = p->head;
-        n = send(p->fd, f->bytes + f->done, f->n - f->done, MSG_NOSIGNAL);
+        n = send(
+            p->fd, f->bytes + f->written, f->size - f->written, MSG_NOSIGNAL);
         if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
-            want_write(p, true);
+            set_write_events(p, true);
             return;
         }
         if (n < 0) {
             close_conn(p);
             return;
         }
-        f->done += (size_t)n;
+        f->written += (size_t)n;
         p->link->stats.sent_bytes += (uint64_t)n;
-        if (f->done < f->n) {
-            want_write(p, true);
+        if (f->written < f->size) {
+            set_write_events(p, true);
             return;
         }
         pop_front(p);
     }
-    want_write(p, false);
+    set_write_events(p, false);
 }
 
 static void
-was_refused(struct peer *p, uint64_t now)
+report_refused(struct peer *p, uint64_t now)
 {
-    p->refused_ms = now;
+    p->refused_at_ms = now;
     close_conn(p);
     p->link->events->refused(p->link->ctx, p->id);
 }
@@ -323,20 +329,20 @@
     struct sockaddr_in sa;
     int one = 1;
 
-    if (now - p->refused_ms < REFUSED_PAUSE_MS ||
+    if (now - p->refused_at_ms < REFUSED_RETRY_MS ||
         !p->link->events->resolve(p->link->ctx, p->id, &at) ||
         !fill_address(&at, &sa)) {
-        drop_queue(p);
+        discard_queue(p);
         return;
     }
     p->fd = open_socket(SOCK_STREAM);
     if (p->fd < 0) {
-        drop_queue(p);
+        discard_queue(p);
         return;
     }
     setsockopt(p->fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
     p->state = CONN_CONNECTING;
-    p->since_ms = now;
+    p->connect_started_ms = now;
     ev_io_init(&p->io, on_peer_io, p->fd, EV_READ | EV_WRITE);
     p->io.data = p;
     ev_io_start(p->link->loop, &p->io);
@@ -344,7 +350,7 @@
     if (connect(p->fd, (struct sockaddr *)&sa, sizeof(sa)) != 0 &&
         errno != EINPROGRESS) {
         if (errno == ECONNREFUSED) {
-            was_refused(p, now);
+            report_refused(p, now);
         }
         else {
             close_conn(p);
@@ -353,14 +359,14 @@
 }
 
 static void
-connected(struct peer *p, uint64_t now)
+connect_done(struct peer *p, uint64_t now)
 {
     int err = 0;
     socklen_t n = sizeof(err);
 
     getsockopt(p->fd, SOL_SOCKET, SO_ERROR, &err, &n);
     if (err == ECONNREFUSED) {
-        was_refused(p, now);
+        report_refused(p, now);
         return;
     }
     if (err != 0) {
@@ -372,23 +378,23 @@
 }
 
 static void
-hello_answered(struct peer *p, uint64_t now, const dw_hello *hello)
+on_hello_reply(struct peer *p, uint64_t now, const dw_hello *hello)
 {
     if (hello->id != p->id) {
-        /* A later incarnation listens there, so this one is gone. */
-        was_refused(p, now);
+        /* A later incarnation listens there, so process p->id has ended. */
+        report_refused(p, now);
         return;
     }
-    p->hello_ms = 0;
-    p->unproved_ms = 0;
-    p->their_clock = hello->clock_ms;
-    p->clock_at_ms = now;
+    p->hello_sent_ms = 0;
+    p->unconfirmed_ms = 0;
+    p->peer_clock_ms = hello->clock_ms;
+    p->peer_clock_at_ms = now;
     p->state = CONN_READY;
     flush_peer(p);
 }
 
 static void
-take_reply(struct peer *p, uint64_t now, char *bytes, size_t n)
+handle_reply(struct peer *p, uint64_t now, char *bytes, size_t n)
 {
     struct rpc_msg reply;
     dw_hello hello;
@@ -406,46 +412,46 @@
          reply.acpted_rply.ar_stat == SUCCESS && reply.rm_xid == p->hello_xid;
     xdr_destroy(&x);
     if (ok) {
-        hello_answered(p, now, &hello);
+        on_hello_reply(p, now, &hello);
     }
 }
 
 /* --- records --- */
 
-/* The next whole record in b from *at on; false if it is not there yet.
- * *bad is set if the stream cannot go on. */
+/* Get the next complete record in b at *offset and advance *offset past it.
+ * False if it is incomplete; *bad is set if the mark is invalid. */
 static bool
-next_record(const struct buf *b, size_t *at, struct str *record, bool *bad)
+next_record(const struct buf *b, size_t *offset, struct str *record, bool *bad)
 {
     uint32_t mark;
     size_t n;
 
-    if (b->n - *at < sizeof(mark)) {
+    if (b->n - *offset < sizeof(mark)) {
         return false;
     }
-    memcpy(&mark, b->p + *at, sizeof(mark));
+    memcpy(&mark, b->p + *offset, sizeof(mark));
     mark = ntohl(mark);
     n = mark & ~FRAME_LAST;
-    if ((mark & FRAME_LAST) == 0 || n > LINK_RECORD_MAX) {
+    if ((mark & FRAME_LAST) == 0 || n > LINK_RECORD_MAX_BYTES) {
         *bad = true;
         return false;
     }
-    if (b->n - *at - sizeof(mark) < n) {
+    if (b->n - *offset - sizeof(mark) < n) {
         return false;
     }
-    *record = str_make(b->p + *at + sizeof(mark), n);
-    *at += sizeof(mark) + n;
+    *record = str_make(b->p + *offset + sizeof(mark), n);
+    *offset += sizeof(mark) + n;
     return true;
 }
 
 static void
-cut_front(struct buf *b, size_t n)
+discard_front(struct buf *b, size_t n)
 {
     memmove(b->p, b->p + n, b->n - n);
     b->n -= n;
 }
 
-/* Read all there is; false if the connection has ended. */
+/* Read until the socket would block; false if the connection has ended. */
 static bool
 read_all(int fd, struct buf *b, struct link_stats *stats)
 {
@@ -474,24 +480,25 @@
     struct peer *p = w->data;
     uint64_t now = proc_now();
     struct str record;
-    size_t at = 0;
+    size_t offset = 0;
     bool bad = false;
 
     (void)loop;
     if (p->state == CONN_CONNECTING) {
-        connected(p, now);
+        connect_done(p, now);
         return;
     }
     if (revents & EV_READ) {
         if (!read_all(p->fd, &p->in, &p->link->stats)) {
             close_conn(p);
-            /* If the process has died, its port refuses, which proves it:
-             * its partitions can be opened without waiting. */
+            /* If the process has died, its port refuses the connection.
+             * That proves the death, so that its partitions can be taken
+             * over without waiting for a timeout. */
             connect_peer(p, now);
             return;
         }
-        while (p->fd >= 0 && next_record(&p->in, &at, &record, &bad)) {
-            take_reply(p, now, (char *)record.p, record.n);
+        while (p->fd >= 0 && next_record(&p->in, &offset, &record, &bad)) {
+            handle_reply(p, now, (char *)record.p, record.n);
         }
         if (bad) {
             close_conn(p);
@@ -499,7 +506,7 @@
         if (p->fd < 0) {
             return;
         }
-        cut_front(&p->in, at);
+        discard_front(&p->in, offset);
     }
     if (revents & EV_WRITE) {
         flush_peer(p);
@@ -509,31 +516,33 @@
 /* --- receiving --- */
 
 /*
- * The echo is our own clock as the sender last heard it, so the message has
- * been on its way for no longer than the difference.  An older one may be a
- * copy that everybody has given up on and answered for.
+ * The echoed timestamp is this process's clock as last received by the sender,
+ * so the message has been in transit for no longer than the difference.  An
+ * older message may be a copy whose sender has given up on it and reported
+ * another outcome.
  */
 static bool
-too_old(const dw_envelope *env, uint64_t now)
+is_expired(const dw_envelope *env, uint64_t now)
 {
-    return env->echo_ms > now || now - env->echo_ms > LINK_TRANSIT_MS;
+    return env->echo_ms > now || now - env->echo_ms > LINK_TRANSIT_MAX_MS;
 }
 
 static void
-note_proof(struct link *l, uint64_t now, const dw_envelope *env, bool stream)
+update_peer(struct link *l, uint64_t now, const dw_envelope *env, bool stream)
 {
     struct peer *p = find_peer(l, env->from, false);
 
     if (p == NULL) {
         return;
     }
-    if (env->clock_ms > p->their_clock) {
-        p->their_clock = env->clock_ms;
-        p->clock_at_ms = now;
+    if (env->clock_ms > p->peer_clock_ms) {
+        p->peer_clock_ms = env->clock_ms;
+        p->peer_clock_at_ms = now;
     }
-    /* Only what came by a connection tells of one. */
-    if (stream && p->unproved_ms != 0 && env->echo_ms >= p->unproved_ms) {
-        p->unproved_ms = 0;
+    /* Only a message received on a connection confirms one. */
+    if (stream && p->unconfirmed_ms != 0 &&
+        env->echo_ms >= p->unconfirmed_ms) {
+        p->unconfirmed_ms = 0;
     }
 }
 
@@ -546,8 +555,8 @@
         l->stats.dropped_other++;
         return;
     }
-    note_proof(l, now, env, stream);
-    if (stream && too_old(env, now)) {
+    update_peer(l, now, env, stream);
+    if (stream && is_expired(env, now)) {
         l->stats.dropped_old++;
         return;
     }
@@ -555,9 +564,10 @@
     l->events->message(l->ctx, env->from, &env->msg);
 }
 
-/* Decode one call; a HELLO's xid is handed back for the reply. */
+/* Decode and deliver one call; *hello_xid is set if it is a HELLO, which needs
+ * a reply.  False if it is malformed. */
 static bool
-take_call(
+handle_call(
     struct link *l, char *bytes, size_t n, bool stream, uint32_t *hello_xid)
 {
     struct rpc_msg call;
@@ -618,7 +628,8 @@
     size_t n =
         frame_hello_reply(in->link->self, proc_now(), xid, out, sizeof(out));
 
-    /* A peer that does not read its replies is replaced by itself. */
+    /* If the reply does not fit the socket's buffer, the peer does not read;
+     * it closes the connection itself once its HELLO times out. */
     if (send(in->fd, out, n, MSG_NOSIGNAL) == (ssize_t)n) {
         in->link->stats.sent_bytes += n;
     }
@@ -630,15 +641,15 @@
     struct inbound *in = w->data;
     bool open = read_all(in->fd, &in->in, &in->link->stats);
     struct str record;
-    size_t at = 0;
+    size_t offset = 0;
     bool bad = false;
 
     (void)loop;
     (void)revents;
-    while (!bad && next_record(&in->in, &at, &record, &bad)) {
+    while (!bad && next_record(&in->in, &offset, &record, &bad)) {
         uint32_t xid = 0;
 
-        bad = !take_call(in->link, (char *)record.p, record.n, true, &xid);
+        bad = !handle_call(in->link, (char *)record.p, record.n, true, &xid);
         if (xid != 0) {
             reply_hello(in, xid);
         }
@@ -647,7 +658,7 @@
         free_inbound(in);
         return;
     }
-    cut_front(&in->in, at);
+    discard_front(&in->in, offset);
 }
 
 static void
@@ -659,8 +670,8 @@
 
     (void)loop;
     (void)revents;
-    while ((fd = accept4(l->tcp, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC)) >=
-           0) {
+    while ((fd = accept4(
+                l->tcp_fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0) {
         struct inbound *in = dw_zero(1, sizeof(*in));
 
         setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
@@ -686,11 +697,11 @@
 
     (void)loop;
     (void)revents;
-    while ((n = recv(l->udp, bytes, sizeof(bytes), 0)) > 0) {
+    while ((n = recv(l->udp_fd, bytes, sizeof(bytes), 0)) > 0) {
         uint32_t xid = 0;
 
         l->stats.received_bytes += (uint64_t)n;
-        take_call(l, bytes, (size_t)n, false, &xid);
+        handle_call(l, bytes, (size_t)n, false, &xid);
     }
 }
 
@@ -703,7 +714,7 @@
 
     l->stats.sent++;
     l->stats.sent_by_type[t]++;
-    l->stats.bytes_by_type[t] += n;
+    l->stats.sent_bytes_by_type[t] += n;
 }
 
 static void
@@ -715,9 +726,10 @@
     if (!l->events->resolve(l->ctx, to, &at) || !fill_address(&at, &sa)) {
         return;
     }
-    if (sendto(l->udp, f->bytes + 4, f->n - 4, 0, (struct sockaddr *)&sa,
+    if (sendto(l->udp_fd, f->bytes + FRAME_MARK_SIZE,
+            f->size - FRAME_MARK_SIZE, 0, (struct sockaddr *)&sa,
             sizeof(sa)) > 0) {
-        l->stats.sent_bytes += f->n - 4;
+        l->stats.sent_bytes += f->size - FRAME_MARK_SIZE;
     }
 }
 
@@ -726,14 +738,14 @@
 {
     struct peer *p = find_peer(l, to, true);
 
-    if (p->queued + f->n > QUEUE_MAX) {
+    if (p->queued_bytes + f->size > QUEUE_MAX_BYTES) {
         l->stats.dropped_full++;
         free(f);
         return;
     }
-    p->used_ms = now;
-    if (p->unproved_ms == 0) {
-        p->unproved_ms = now;
+    p->last_send_ms = now;
+    if (p->unconfirmed_ms == 0) {
+        p->unconfirmed_ms = now;
     }
     push_back(p, f);
     if (p->state == CONN_CLOSED) {
@@ -756,8 +768,8 @@
             LOG_LEVEL_ERROR, "message_not_encoded", "type=%d", (int)msg->type);
         return;
     }
-    count_sent(l, msg->type, f->n);
-    if (frame_may_be_datagram(msg->type) && f->n <= DATAGRAM_MAX) {
+    count_sent(l, msg->type, f->size);
+    if (frame_may_be_datagram(msg->type) && f->size <= DATAGRAM_MAX_BYTES) {
         send_datagram(l, to, f);
         free(f);
         return;
@@ -766,7 +778,7 @@
 }
 
 void
-link_drop(struct link *l, uint64_t to)
+link_disconnect(struct link *l, uint64_t to)
 {
     struct peer *p = find_peer(l, to, false);
 
@@ -778,34 +790,35 @@
 /* --- time --- */
 
 static void
-tend_peer(struct peer *p, uint64_t now)
+check_peer(struct peer *p, uint64_t now)
 {
     if (p->state == CONN_CLOSED) {
         return;
     }
-    if (p->state == CONN_CONNECTING && now - p->since_ms > CONNECT_MS) {
+    if (p->state == CONN_CONNECTING &&
+        now - p->connect_started_ms > CONNECT_TIMEOUT_MS) {
         close_conn(p);
         return;
     }
     /*
-     * Something between the two ends may have lost track of an open
-     * connection: sends succeed, nothing arrives, and no error ever comes,
-     * while new connections work.  The unanswered HELLO shows it.
+     * A middlebox may have lost the state of an open connection: sends
+     * succeed, nothing arrives and no error is reported, while new
+     * connections work.  The HELLO without a reply detects this.
      */
-    if (p->hello_ms != 0 && now - p->hello_ms > SILENT_MS) {
-        p->link->stats.replaced++;
+    if (p->hello_sent_ms != 0 && now - p->hello_sent_ms > HELLO_TIMEOUT_MS) {
+        p->link->stats.connections_replaced++;
         log_event(LOG_LEVEL_INFO, "connection_replaced", "peer=%016llx",
             (unsigned long long)p->id);
         close_conn(p);
         return;
     }
-    if (p->state == CONN_READY && p->unproved_ms != 0 &&
-        now - p->unproved_ms > DOUBT_MS) {
+    if (p->state == CONN_READY && p->unconfirmed_ms != 0 &&
+        now - p->unconfirmed_ms > PROBE_AFTER_MS) {
         send_hello(p, now, false);
         flush_peer(p);
         return;
     }
-    if (p->queued == 0 && now - p->used_ms > IDLE_MS) {
+    if (p->queued_bytes == 0 && now - p->last_send_ms > IDLE_TIMEOUT_MS) {
         close_conn(p);
     }
 }
@@ -823,8 +836,9 @@
     HASH_ITER (hh, l->peers, p, tmp) {
         struct link_addr at;
 
-        tend_peer(p, now);
-        if (p->state == CONN_CLOSED && now - p->used_ms > IDLE_MS &&
+        check_peer(p, now);
+        if (p->state == CONN_CLOSED &&
+            now - p->last_send_ms > IDLE_TIMEOUT_MS &&
             !l->events->resolve(l->ctx, p->id, &at)) {
             free_peer(p);
         }
@@ -852,7 +866,7 @@
 }
 
 static enum link_status
-open_both(struct link *l, const char *addr, uint16_t port, struct err *e)
+open_sockets(struct link *l, const char *addr, uint16_t port, struct err *e)
 {
     struct link_addr at = {addr, port};
     struct sockaddr_in sa;
@@ -860,23 +874,23 @@
     int size = 4 << 20;
 
     if (!fill_address(&at, &sa)) {
-        err_set(e, "address '%s': want a numeric IPv4 address", addr);
+        err_set(e, "address '%s' is not a numeric IPv4 address", addr);
         return LINK_BAD_ADDRESS;
     }
-    l->tcp = open_socket(SOCK_STREAM);
-    st = bind_socket(l->tcp, &sa, addr, port, "TCP", e);
+    l->tcp_fd = open_socket(SOCK_STREAM);
+    st = bind_socket(l->tcp_fd, &sa, addr, port, "TCP", e);
     if (st != LINK_OK) {
         return st;
     }
-    if (listen(l->tcp, 1024) != 0) {
+    if (listen(l->tcp_fd, 1024) != 0) {
         err_set(e, "TCP %s:%u: %s", addr, port, strerror(errno));
         return LINK_NO_SOCKET;
     }
-    l->udp = open_socket(SOCK_DGRAM);
-    if (l->udp >= 0) {
-        setsockopt(l->udp, SOL_SOCKET, SO_RCVBUF, &size, sizeof(size));
+    l->udp_fd = open_socket(SOCK_DGRAM);
+    if (l->udp_fd >= 0) {
+        setsockopt(l->udp_fd, SOL_SOCKET, SO_RCVBUF, &size, sizeof(size));
     }
-    return bind_socket(l->udp, &sa, addr, port, "UDP", e);
+    return bind_socket(l->udp_fd, &sa, addr, port, "UDP", e);
 }
 
 enum link_status
@@ -891,25 +905,26 @@
     l->self = self;
     l->events = events;
     l->ctx = ctx;
-    l->tcp = -1;
-    l->udp = -1;
+    l->tcp_fd = -1;
+    l->udp_fd = -1;
     ev_init(&l->accept_io, on_accept);
     ev_init(&l->udp_io, on_datagram);
     ev_init(&l->timer, on_tick);
-    /* What has come proves more than that time has passed. */
+    /* Process received messages before timeouts, as they may confirm a
+     * connection that would otherwise be closed. */
     ev_set_priority(&l->timer, -1);
-    st = open_both(l, addr, port, e);
+    st = open_sockets(l, addr, port, e);
     if (st != LINK_OK) {
         link_close(l);
         return st;
     }
-    ev_io_set(&l->accept_io, l->tcp, EV_READ);
+    ev_io_set(&l->accept_io, l->tcp_fd, EV_READ);
     l->accept_io.data = l;
     ev_io_start(loop, &l->accept_io);
-    ev_io_set(&l->udp_io, l->udp, EV_READ);
+    ev_io_set(&l->udp_io, l->udp_fd, EV_READ);
     l->udp_io.data = l;
     ev_io_start(loop, &l->udp_io);
-    ev_timer_set(&l->timer, TICK, TICK);
+    ev_timer_set(&l->timer, TICK_S, TICK_S);
     l->timer.data = l;
     ev_timer_start(loop, &l->timer);
     *out = l;
@@ -931,11 +946,11 @@
     ev_io_stop(l->loop, &l->accept_io);
     ev_io_stop(l->loop, &l->udp_io);
     ev_timer_stop(l->loop, &l->timer);
-    if (l->tcp >= 0) {
-        close(l->tcp);
+    if (l->tcp_fd >= 0) {
+        close(l->tcp_fd);
     }
-    if (l->udp >= 0) {
-        close(l->udp);
+    if (l->udp_fd >= 0) {
+        close(l->udp_fd);
     }
     free(l);
 }
--- a/link.h
+++ b/link.h
@@ -1,12 +1,12 @@
 /*
- * link - messages between dunlinweird processes
+ * link - message transport between dunlinweird processes
  *
- * Each message is one ONC RPC call (RFC 5531) without a reply.  Most go over
- * TCP with record marking; small ones that need no order go by UDP.  A
- * connection carries a HELLO call with a reply when it is opened and when
- * nothing else shows that the other side still receives; a connection that
- * is silent then is replaced.  Any message may be lost: the modules send
- * again.
+ * Each message is one ONC RPC call (RFC 5531) without a reply.  Most are sent
+ * over TCP with record marking; small ones that need no ordering are sent as
+ * UDP datagrams.  A HELLO call, which has a reply, is sent when a connection
+ * is opened and when no message has confirmed that the peer still receives;
+ * a connection without a reply is closed and the next message opens another.
+ * Any message may be lost: the modules above retransmit.
  */
 #ifndef LINK_H
 #define LINK_H
@@ -25,55 +25,65 @@
 
 #define LINK_PROGRAM 0x20d11e14U
 #define LINK_VERSION 1U
-/* A message that was longer on its way is dropped, as what it says may have
- * been answered for otherwise since. */
-#define LINK_TRANSIT_MS 3000U
-#define LINK_RECORD_MAX (16U << 20)
+/* A message that spent longer in transit is dropped on receipt: its sender may
+ * have given up on it and reported another outcome. */
+#define LINK_TRANSIT_MAX_MS 3000U
+#define LINK_RECORD_MAX_BYTES (16U << 20)
 
 enum link_status { LINK_OK, LINK_BAD_ADDRESS, LINK_NO_SOCKET };
 
+/* One process's listening sockets and its connections to all peers. */
 struct link;
 
+/* Where a process listens, for both TCP and UDP. */
 struct link_addr {
-    const char *addr; /* numeric */
+    const char *addr; /* numeric IPv4 address */
     uint16_t port;
 };
 
+/* Callbacks.  Processes are identified by id; a restarted process has a new
+ * one. */
 struct link_events {
-    /* The message may be altered; the link frees it. */
+    /* A message from a peer.  The callback may modify it; the link frees it
+     * afterwards. */
     void (*message)(void *ctx, uint64_t from, dw_msg *msg);
-    /* The process's port refuses, or another process answers there. */
+    /* A process's port refuses connections, or another process answers
+     * there: the process with this id is not running. */
     void (*refused)(void *ctx, uint64_t id);
-    /* Where a process listens; false if not known. */
+    /* Look up where a process listens; false if unknown. */
     bool (*resolve)(void *ctx, uint64_t id, struct link_addr *out);
 };
 
+/* Counters since link_open(). */
 struct link_stats {
-    uint64_t sent;
-    uint64_t received;
+    uint64_t sent;     /* messages passed to link_send(), less unencodable */
+    uint64_t received; /* messages delivered */
     uint64_t sent_bytes;
     uint64_t received_bytes;
-    uint64_t sent_by_type[32];
-    uint64_t bytes_by_type[32];
-    uint64_t dropped_full;  /* the peer does not read */
-    uint64_t dropped_old;   /* too long on the way */
-    uint64_t dropped_other; /* meant for another incarnation, or damaged */
-    uint64_t replaced;      /* connections found silent */
-    uint64_t hellos;
+    uint64_t sent_by_type[32]; /* messages, by dw_mtype */
+    uint64_t sent_bytes_by_type[32];
+    uint64_t dropped_full;  /* the peer's send queue was full */
+    uint64_t dropped_old;   /* too long in a send queue or in transit */
+    uint64_t dropped_other; /* for another process, malformed or too long */
+    uint64_t connections_replaced; /* closed as the peer did not reply */
+    uint64_t hellos;               /* HELLO calls sent */
 };
 
-/* Listen on addr and port for both TCP and UDP. */
+/* Listen on a numeric IPv4 address and port for both TCP and UDP.  self is
+ * this process's id.  On an error *out is not set and e describes it. */
 enum link_status link_open(struct link **out, struct ev_loop *loop,
     uint64_t self, const char *addr, uint16_t port,
     const struct link_events *events, void *ctx, struct err *e);
 void link_close(struct link *l);
-/* Queue a message.  It is lost if the peer cannot be reached. */
+/* Encode and send or queue a message; msg stays the caller's.  The message is
+ * lost if the peer is unreachable or does not read. */
 void link_send(struct link *l, uint64_t to, const dw_msg *msg);
-/* Close the connection to a peer: the next message opens a new one. */
-void link_drop(struct link *l, uint64_t to);
+/* Close the connection to a peer and discard its queue; the next message opens
+ * a new connection. */
+void link_disconnect(struct link *l, uint64_t to);
 const struct link_stats *link_stats(const struct link *l);
-/* Bytes queued for all peers. */
-size_t link_backlog(const struct link *l);
+/* Bytes queued to all peers. */
+size_t link_queued_bytes(const struct link *l);
 
 #ifdef __cplusplus
 }
--- a/log.c
+++ b/log.c
@@ -49,7 +49,7 @@
 
 /* The last lines, as strings one after the other.  A string that did not fit
  * at the end went to the front; what it ran into is forgotten. */
-static char recent[LOG_RECENT_MAX];
+static char recent[LOG_RECENT_MAX_BYTES];
 static size_t recent_at;   /* where the next goes */
 static size_t recent_last; /* behind the newest at the end; 0: none there */
 
@@ -129,7 +129,7 @@
 }
 
 unsigned long
-log_lost(void)
+log_lines_lost(void)
 {
     return lost;
 }
@@ -139,7 +139,7 @@
 {
     size_t n = strlen(text) + 1;
 
-    if (recent_at + n > LOG_RECENT_MAX) {
+    if (recent_at + n > LOG_RECENT_MAX_BYTES) {
         recent_last = recent_at;
         recent_at = 0;
     }
--- a/log.h
+++ b/log.h
@@ -16,7 +16,7 @@
 extern "C" {
 #endif
 
-#define LOG_RECENT_MAX 262144U
+#define LOG_RECENT_MAX_BYTES 262144U
 
 enum log_level {
     LOG_LEVEL_ERROR,
@@ -37,11 +37,11 @@
 void log_flush(void);
 /* Call fn for each line that is still remembered and has field, as in
  * "job=5c0e", oldest first.  What went to the log is remembered while
- * LOG_RECENT_MAX bytes hold it. */
+ * LOG_RECENT_MAX_BYTES bytes hold it. */
 void log_recent(
     const char *field, void (*fn)(void *ctx, const char *text), void *ctx);
 /* Lines that were left out because the reader took none. */
-unsigned long log_lost(void);
+unsigned long log_lines_lost(void);
 /* fmt gives the fields, as in "id=%s ms=%u". */
 void log_event(enum log_level level, const char *event, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
--- a/metric.c
+++ b/metric.c
@@ -56,9 +56,9 @@
     add(b, COUNTER, "messages_dropped_full_total", s->dropped_full);
     add(b, COUNTER, "messages_dropped_old_total", s->dropped_old);
     add(b, COUNTER, "messages_dropped_other_total", s->dropped_other);
-    add(b, COUNTER, "connections_replaced_total", s->replaced);
+    add(b, COUNTER, "connections_replaced_total", s->connections_replaced);
     add(b, COUNTER, "hellos_total", s->hellos);
-    add(b, GAUGE, "backlog_bytes", link_backlog(d->link));
+    add(b, GAUGE, "backlog_bytes", link_queued_bytes(d->link));
     buf_add(b, STR("# TYPE dunlinweir_messages counter\n"));
     for (size_t i = 0; i < 32; i++) {
         if (type_names[i] != NULL) {
@@ -66,7 +66,7 @@
                 "dunlinweir_messages{type=\"%s\"} %" PRIu64 "\n"
                 "dunlinweir_message_bytes{type=\"%s\"} %" PRIu64 "\n",
                 type_names[i], s->sent_by_type[i], type_names[i],
-                s->bytes_by_type[i]);
+                s->sent_bytes_by_type[i]);
         }
     }
 }
--- a/ops.c
+++ b/ops.c
@@ -237,7 +237,7 @@
         op->conflicted = true;
         settle(op);
         break;
-    case STORE_DOWN:
+    case STORE_UNREACHABLE:
     case STORE_UNKNOWN:
         op->state = OP_RETRYING;
         op->next_ms = proc_now() + RETRY_MS;
--- a/store.c
+++ b/store.c
@@ -24,7 +24,7 @@
     char prefix[128];
     struct httpc_req *watch;
     struct buf watch_line;
-    store_hint_fn hint;
+    store_change_fn hint;
     void *hint_ctx;
     ev_timer again;
     ev_timer tell; /* a change was seen; see on_watch_line() */
@@ -34,8 +34,8 @@
 /* One call on its way. */
 struct call {
     struct etcd *s;
-    store_rev_fn rev;
-    store_all_fn all;
+    store_check_fn rev;
+    store_read_fn all;
     store_txn_fn txn;
     void *ctx;
 };
@@ -55,9 +55,9 @@
 }
 
 static json_t *
-parse(const struct httpc_done *d)
+parse(const struct httpc_result *d)
 {
-    if (d->status != HTTPC_OK || d->code != 200) {
+    if (d->status != HTTPC_OK || d->http_status != 200) {
         return NULL;
     }
     return json_loadb(d->body.p, d->body.n, 0, NULL);
@@ -111,16 +111,16 @@
 }
 
 static enum store_status
-fail(struct etcd *s, const char *what, const struct httpc_done *d)
+fail(struct etcd *s, const char *what, const struct httpc_result *d)
 {
     s->base.stats.failures++;
     log_event(LOG_LEVEL_DEBUG, "store_failed", "call=%s code=%ld error=\"%s\"",
-        what, d->code, d->message);
-    return d->status == HTTPC_NOT_SENT ? STORE_DOWN : STORE_UNKNOWN;
+        what, d->http_status, d->error);
+    return d->status == HTTPC_NOT_SENT ? STORE_UNREACHABLE : STORE_UNKNOWN;
 }
 
 static void
-on_check(void *ctx, const struct httpc_done *d)
+on_check(void *ctx, const struct httpc_result *d)
 {
     struct call *c = ctx;
     json_t *o = parse(d);
@@ -128,7 +128,7 @@
 
     if (o == NULL) {
         fail(c->s, "check", d);
-        c->rev(c->ctx, STORE_DOWN, 0);
+        c->rev(c->ctx, STORE_UNREACHABLE, 0);
     }
     else {
         c->rev(
@@ -139,7 +139,7 @@
 }
 
 static void
-on_read(void *ctx, const struct httpc_done *d)
+on_read(void *ctx, const struct httpc_result *d)
 {
     struct call *c = ctx;
     json_t *o = parse(d);
@@ -147,7 +147,7 @@
 
     if (o == NULL || !read_state(o, &st)) {
         fail(c->s, "read", d);
-        c->all(c->ctx, STORE_DOWN, NULL);
+        c->all(c->ctx, STORE_UNREACHABLE, NULL);
     }
     else {
         c->all(c->ctx, STORE_OK, &st);
@@ -158,7 +158,7 @@
 }
 
 static void
-on_txn(void *ctx, const struct httpc_done *d)
+on_txn(void *ctx, const struct httpc_result *d)
 {
     struct call *c = ctx;
     json_t *o = parse(d);
@@ -235,7 +235,7 @@
 }
 
 static void
-etcd_check(struct store *base, store_rev_fn fn, void *ctx)
+etcd_check(struct store *base, store_check_fn fn, void *ctx)
 {
     struct call *c = new_call(base, ctx);
     struct buf b = {0};
@@ -251,7 +251,7 @@
 }
 
 static void
-etcd_read(struct store *base, const char *prefix, store_all_fn fn, void *ctx)
+etcd_read(struct store *base, const char *prefix, store_read_fn fn, void *ctx)
 {
     struct call *c = new_call(base, ctx);
     struct buf b = {0};
@@ -366,11 +366,11 @@
 }
 
 static void
-on_watch_done(void *ctx, const struct httpc_done *d)
+on_watch_done(void *ctx, const struct httpc_result *d)
 {
     struct etcd *s = ctx;
 
-    log_event(LOG_LEVEL_DEBUG, "watch_ended", "error=\"%s\"", d->message);
+    log_event(LOG_LEVEL_DEBUG, "watch_ended", "error=\"%s\"", d->error);
     s->watch = NULL;
     s->watch_line.n = 0;
     ev_timer_set(&s->again, s->wait, 0.0);
@@ -401,7 +401,8 @@
 }
 
 static void
-etcd_watch(struct store *base, const char *prefix, store_hint_fn fn, void *ctx)
+etcd_watch(
+    struct store *base, const char *prefix, store_change_fn fn, void *ctx)
 {
     struct etcd *s = (struct etcd *)base;
 
--- a/store.h
+++ b/store.h
@@ -22,31 +22,31 @@
 
 enum store_status {
     STORE_OK,
-    STORE_CONFLICT, /* a comparison failed; nothing was written */
-    STORE_DOWN,     /* unreachable: nothing was read or written */
-    STORE_UNKNOWN   /* a write may have taken effect, or still may */
+    STORE_CONFLICT,    /* a comparison failed; nothing was written */
+    STORE_UNREACHABLE, /* unreachable: nothing was read or written */
+    STORE_UNKNOWN      /* a write may have taken effect, or still may */
 };
 
 /* The stream's newest revision. */
-typedef void (*store_rev_fn)(void *ctx, enum store_status st, uint64_t rev);
+typedef void (*store_check_fn)(void *ctx, enum store_status st, uint64_t rev);
 /* Everything below a prefix; audit entries included. */
-typedef void (*store_all_fn)(
+typedef void (*store_read_fn)(
     void *ctx, enum store_status st, const dw_state *all);
 /* rev is the transaction's revision when it is STORE_OK. */
 typedef void (*store_txn_fn)(void *ctx, enum store_status st, uint64_t rev);
-typedef void (*store_hint_fn)(void *ctx);
+typedef void (*store_change_fn)(void *ctx);
 
 struct store;
 
 struct store_ops {
-    void (*check)(struct store *s, store_rev_fn fn, void *ctx);
+    void (*check)(struct store *s, store_check_fn fn, void *ctx);
     void (*read)(
-        struct store *s, const char *prefix, store_all_fn fn, void *ctx);
+        struct store *s, const char *prefix, store_read_fn fn, void *ctx);
     void (*txn)(
         struct store *s, const struct txn *t, store_txn_fn fn, void *ctx);
     /* Call fn whenever something below the prefix changes. */
     void (*watch)(
-        struct store *s, const char *prefix, store_hint_fn fn, void *ctx);
+        struct store *s, const char *prefix, store_change_fn fn, void *ctx);
     void (*unwatch)(struct store *s);
     void (*free)(struct store *s);
 };
--- a/test/fake-backend.c
+++ b/test/fake-backend.c
@@ -351,7 +351,7 @@
 }
 
 static void
-announced(void *ctx, const struct httpc_done *d)
+announced(void *ctx, const struct httpc_result *d)
 {
     (void)ctx;
     (void)d;
--- a/test/link-test.cc
+++ b/test/link-test.cc
@@ -1,6 +1,6 @@
 /*
- * The link between processes, over loopback sockets: what is lost, late or
- * meant for somebody else must not reach the modules.
+ * Message transport over loopback sockets: late messages and messages for
+ * another process must not be delivered.
  */
 #include <gtest/gtest.h>
 
@@ -17,10 +17,11 @@
 
 namespace {
 
-struct End {
+struct Endpoint {
     struct ::link *l = nullptr;
     uint64_t id;
-    std::vector<uint32_t> got; /* the partitions of the handed messages */
+    /* partition numbers of the DW_HANDED messages */
+    std::vector<uint32_t> received;
     std::vector<uint64_t> refused;
     std::map<uint64_t, uint16_t> *ports;
 };
@@ -28,19 +29,20 @@
 void
 on_message(void *ctx, uint64_t, dw_msg *m)
 {
-    static_cast<End *>(ctx)->got.push_back(m->dw_msg_u.handed.partition);
+    static_cast<Endpoint *>(ctx)->received.push_back(
+        m->dw_msg_u.handed.partition);
 }
 
 void
 on_refused(void *ctx, uint64_t id)
 {
-    static_cast<End *>(ctx)->refused.push_back(id);
+    static_cast<Endpoint *>(ctx)->refused.push_back(id);
 }
 
 bool
 resolve(void *ctx, uint64_t id, struct link_addr *out)
 {
-    End *e = static_cast<End *>(ctx);
+    Endpoint *e = static_cast<Endpoint *>(ctx);
 
     if (e->ports->count(id) == 0) {
         return false;
@@ -56,11 +58,11 @@
   protected:
     struct ev_loop *loop = ev_loop_new(0);
     std::map<uint64_t, uint16_t> ports;
-    End a;
-    End b;
+    Endpoint a;
+    Endpoint b;
 
     void
-    open(End &e, uint64_t id, uint16_t port)
+    open(Endpoint &e, uint64_t id, uint16_t port)
     {
         err why = {""};
 
@@ -76,7 +78,7 @@
     void
     TearDown() override
     {
-        for (End *e : {&a, &b}) {
+        for (Endpoint *e : {&a, &b}) {
             if (e->l != nullptr) {
                 link_close(e->l);
             }
@@ -102,7 +104,7 @@
     }
 
     void
-    send(End &from, uint64_t to, uint32_t n)
+    send(Endpoint &from, uint64_t to, uint32_t n)
     {
         dw_msg m = {};
 
@@ -120,27 +122,27 @@
         send(a, 2, i);
     }
     run(0.3);
-    ASSERT_EQ(b.got.size(), 100U);
+    ASSERT_EQ(b.received.size(), 100U);
     for (uint32_t i = 0; i < 100; i++) {
-        EXPECT_EQ(b.got[i], i);
+        EXPECT_EQ(b.received[i], i);
     }
 }
 
-/* A message to an earlier incarnation must not reach its successor, and the
- * sender learns that the earlier one is gone. */
-TEST_F(Link, AnotherIncarnationGetsNothing)
+/* A message to an earlier incarnation must not be delivered to its successor
+ * on the same port, and the sender is notified that the earlier one ended. */
+TEST_F(Link, MessagesForAnEarlierIncarnationAreNotDelivered)
 {
     open(a, 1, port_of(3));
     open(b, 2, port_of(4));
     ports[3] = port_of(4);
     send(a, 3, 7);
     run(0.3);
-    EXPECT_TRUE(b.got.empty());
+    EXPECT_TRUE(b.received.empty());
     ASSERT_EQ(a.refused.size(), 1U);
     EXPECT_EQ(a.refused[0], 3U);
 }
 
-TEST_F(Link, ARefusedConnectionIsTold)
+TEST_F(Link, ARefusedConnectionIsReported)
 {
     open(a, 1, port_of(5));
     ports[9] = port_of(99);
@@ -150,53 +152,53 @@
     EXPECT_EQ(a.refused[0], 9U);
 }
 
-/* The peer accepts and never answers, as an open connection does of which
- * something in between has lost track.  It is replaced; when the peer is
- * itself again, new messages arrive, and no old one comes late. */
-TEST_F(Link, ASilentConnectionIsReplaced)
+/* The peer accepts connections and never replies, as when a middlebox has lost
+ * a connection's state.  The connection is replaced; once the peer replies
+ * again, new messages arrive and the old one is not delivered late. */
+TEST_F(Link, AConnectionWithoutRepliesIsReplaced)
 {
-    int mute = socket(AF_INET, SOCK_STREAM, 0);
+    int silent = socket(AF_INET, SOCK_STREAM, 0);
     int one = 1;
     struct sockaddr_in sa = {};
 
     sa.sin_family = AF_INET;
     sa.sin_port = htons(port_of(7));
     sa.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    setsockopt(mute, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
-    ASSERT_EQ(bind(mute, (struct sockaddr *)&sa, sizeof(sa)), 0);
-    ASSERT_EQ(listen(mute, 16), 0);
+    setsockopt(silent, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
+    ASSERT_EQ(bind(silent, (struct sockaddr *)&sa, sizeof(sa)), 0);
+    ASSERT_EQ(listen(silent, 16), 0);
     open(a, 1, port_of(6));
     ports[2] = port_of(7);
     send(a, 2, 1);
     run(1.6);
-    EXPECT_EQ(link_stats(a.l)->replaced, 1U);
-    close(mute);
+    EXPECT_EQ(link_stats(a.l)->connections_replaced, 1U);
+    close(silent);
     open(b, 2, port_of(7));
     send(a, 2, 2);
     run(0.4);
-    ASSERT_EQ(b.got.size(), 1U);
-    EXPECT_EQ(b.got[0], 2U);
+    ASSERT_EQ(b.received.size(), 1U);
+    EXPECT_EQ(b.received[0], 2U);
 }
 
-/* The sender's loop stands still for longer than a message may be under way:
- * what it had queued before is dropped, not sent as if it were new. */
-TEST_F(Link, WhatWaitedTooLongIsDropped)
+/* The sender's event loop stalls for longer than a message may stay queued:
+ * the queued message is dropped, not sent as if it were new. */
+TEST_F(Link, MessagesTooLongInTheSendQueueAreDropped)
 {
     open(a, 1, port_of(8));
     open(b, 2, port_of(9));
     send(a, 2, 1);
     usleep(1700000);
     run(0.3);
-    EXPECT_TRUE(b.got.empty());
+    EXPECT_TRUE(b.received.empty());
     send(a, 2, 2);
     run(0.3);
-    ASSERT_EQ(b.got.size(), 1U);
-    EXPECT_EQ(b.got[0], 2U);
+    ASSERT_EQ(b.received.size(), 1U);
+    EXPECT_EQ(b.received[0], 2U);
 }
 
-/* The receiver's loop stands still: the bytes wait in its socket and must
- * count as old when they are read at last. */
-TEST_F(Link, WhatWaitedInTheReceiverIsDropped)
+/* The receiver's event loop stalls while bytes are in its socket buffer: the
+ * message must count as expired when it is read. */
+TEST_F(Link, MessagesTooLongInTheReceiveBufferAreDropped)
 {
     struct ev_loop *other = ev_loop_new(0);
     err why = {""};
@@ -216,20 +218,20 @@
     };
     send(a, 2, 1);
     both(20);
-    ASSERT_EQ(b.got.size(), 1U);
+    ASSERT_EQ(b.received.size(), 1U);
     send(a, 2, 2);
     run(0.1);
     usleep(3200000);
     ev_run(other, EVRUN_NOWAIT);
-    EXPECT_EQ(b.got.size(), 1U);
+    EXPECT_EQ(b.received.size(), 1U);
     EXPECT_EQ(link_stats(b.l)->dropped_old, 1U);
     link_close(b.l);
     b.l = nullptr;
     ev_loop_destroy(other);
 }
 
-/* Bytes that are no record end that connection and nothing else. */
-TEST_F(Link, DamageCostsOneConnection)
+/* Bytes that are not a valid record close their own connection only. */
+TEST_F(Link, MalformedInputClosesOnlyItsConnection)
 {
     struct sockaddr_in sa = {};
     int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -245,7 +247,7 @@
     run(0.3);
     char c;
     EXPECT_LE(recv(fd, &c, 1, MSG_DONTWAIT), 0);
-    ASSERT_EQ(b.got.size(), 1U);
+    ASSERT_EQ(b.received.size(), 1U);
     close(fd);
 }
 
--- a/test/log-test.cc
+++ b/test/log-test.cc
@@ -94,7 +94,7 @@
             }
             log_flush();
         }
-        lost = log_lost();
+        lost = log_lines_lost();
         text = p.read_some();
     }
     EXPECT_GT(lost, 0u);
@@ -134,8 +134,8 @@
         hist h = {};
 
         hist_add(&h, ms);
-        EXPECT_GE(hist_at(&h, 500), ms);
-        EXPECT_LE(hist_at(&h, 500), ms + ms / 8);
+        EXPECT_GE(hist_quantile(&h, 500), ms);
+        EXPECT_LE(hist_quantile(&h, 500), ms + ms / 8);
     }
 }
 
@@ -146,8 +146,8 @@
     for (uint64_t i = 1; i <= 1000; i++) {
         hist_add(&h, i);
     }
-    EXPECT_NEAR((double)hist_at(&h, 500), 500, 63);
-    EXPECT_NEAR((double)hist_at(&h, 990), 990, 124);
+    EXPECT_NEAR((double)hist_quantile(&h, 500), 500, 63);
+    EXPECT_NEAR((double)hist_quantile(&h, 990), 990, 124);
     EXPECT_EQ(h.count, 1000u);
 }
 
--- a/test/property-test.cc
+++ b/test/property-test.cc
@@ -21,7 +21,7 @@
     LEAVE,
     CUT,
     CUT_OFF,
-    STORE_DOWN,
+    STORE_UNREACHABLE,
     STORE_LOSES,
     DOMAIN_OUT,
     BACKEND_LEAVES,
@@ -98,7 +98,7 @@
             f.procs[who]->store_cut = false;
         });
         break;
-    case STORE_DOWN:
+    case STORE_UNREACHABLE:
         f.store.down = true;
         f.at(b.length, [&f] { f.store.down = false; });
         break;
--- a/test/soak.c
+++ b/test/soak.c
@@ -291,12 +291,12 @@
 static void send_call(struct call *c);
 
 static void
-check_answer(struct call *c, const struct httpc_done *d)
+check_answer(struct call *c, const struct httpc_result *d)
 {
     struct soak *s = c->s;
     char text[200];
 
-    if (d->code == 503 || d->code == 429) {
+    if (d->http_status == 503 || d->http_status == 429) {
         c->rejects++;
         if (c->started > 0 && c->rejects == c->sends) {
             snprintf(text, sizeof(text),
@@ -305,7 +305,7 @@
         }
         return;
     }
-    if (d->code == 200 && strstr(d->body.p, "\"completed\"") != NULL) {
+    if (d->http_status == 200 && strstr(d->body.p, "\"completed\"") != NULL) {
         c->completed = true;
         for (uint32_t i = 0; i < c->tasks; i++) {
             if (!c->done[i]) {
@@ -316,7 +316,7 @@
         }
         return;
     }
-    if (d->code == 200) {
+    if (d->http_status == 200) {
         snprintf(text, sizeof(text),
             "job %016" PRIx64 " is said to have failed", c->id);
         broken(s, text);
@@ -324,12 +324,12 @@
 }
 
 static void
-on_answer(void *ctx, const struct httpc_done *d)
+on_answer(void *ctx, const struct httpc_result *d)
 {
     struct call *c = ctx;
     uint64_t now = c->s->now;
 
-    if (d->status == HTTPC_OK && d->code != 504) {
+    if (d->status == HTTPC_OK && d->http_status != 504) {
         c->answered = true;
         check_answer(c, d);
     }
@@ -410,7 +410,7 @@
 /* --- workers' announcements --- */
 
 static void
-on_announced(void *ctx, const struct httpc_done *d)
+on_announced(void *ctx, const struct httpc_result *d)
 {
     (void)ctx;
     (void)d;
--- a/web.c
+++ b/web.c
@@ -45,7 +45,7 @@
     ev_timer timer;
     ev_prepare prepare; /* the end of a pass */
     web_handle_fn handle;
-    web_gone_fn gone;
+    web_disconnect_fn gone;
     void *ctx;
     size_t open;
     bool draining;
@@ -296,7 +296,7 @@
 
 enum web_status
 web_open(struct web **out, struct ev_loop *loop, const struct web_cfg *cfg,
-    web_handle_fn handle, web_gone_fn gone, void *ctx, struct err *e)
+    web_handle_fn handle, web_disconnect_fn gone, void *ctx, struct err *e)
 {
     struct web *w = dw_zero(1, sizeof(*w));
     const union MHD_DaemonInfo *info;
@@ -366,7 +366,7 @@
 }
 
 void
-web_send_elsewhere(struct web *w, bool on)
+web_set_close_after_reply(struct web *w, bool on)
 {
     w->closing = on;
 }
--- a/web.h
+++ b/web.h
@@ -36,10 +36,10 @@
 /* A whole request has come.  The handler must see to one web_reply(). */
 typedef void (*web_handle_fn)(void *ctx, struct web_req *r);
 /* The caller has gone before its reply; r must not be used after. */
-typedef void (*web_gone_fn)(void *ctx, struct web_req *r);
+typedef void (*web_disconnect_fn)(void *ctx, struct web_req *r);
 
 enum web_status web_open(struct web **out, struct ev_loop *loop,
-    const struct web_cfg *cfg, web_handle_fn handle, web_gone_fn gone,
+    const struct web_cfg *cfg, web_handle_fn handle, web_disconnect_fn gone,
     void *ctx, struct err *e);
 /* Read what has come and send what was answered; done by itself before the
  * loop waits. */
@@ -51,7 +51,7 @@
  * open would come too late to be served. */
 void web_drain(struct web *w);
 /* Ask callers, with each answer while it is on, to connect anew elsewhere. */
-void web_send_elsewhere(struct web *w, bool on);
+void web_set_close_after_reply(struct web *w, bool on);
 size_t web_open_requests(const struct web *w);
 void web_close(struct web *w);
 
