--- a/back.c
+++ b/back.c
@@ -49,7 +49,7 @@
     switch (d->status) {
     case HTTPC_NOT_SENT:
         return DW_T_NOT_STARTED;
-    case HTTPC_CONN_LOST:
+    case HTTPC_FAILED_AFTER_SEND:
     case HTTPC_TIMEOUT:
         return DW_T_UNKNOWN;
     case HTTPC_OK:
--- a/httpc.c
+++ b/httpc.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BODY_MAX (8U << 20)
+#define DEFAULT_BODY_MAX_BYTES (8U << 20)
 
 struct httpc {
     struct ev_loop *loop;
@@ -18,20 +18,20 @@
     struct httpc *h;
     CURL *easy;
     struct curl_slist *headers;
-    struct buf out;
-    struct buf in;
+    struct buf out; /* request body */
+    struct buf in;  /* response body */
     size_t body_max;
     httpc_done_fn done;
-    httpc_before_send_fn ready;
+    httpc_before_send_fn before_send;
     httpc_data_fn data;
     void *ctx;
-    bool went;
+    bool sent;
     char error[CURL_ERROR_SIZE];
     struct httpc_req *prev;
     struct httpc_req *next;
 };
 
-struct watch {
+struct socket_watch {
     ev_io io;
     curl_socket_t fd;
     struct httpc *h;
@@ -63,10 +63,11 @@
     if (code == CURLE_OK) {
         return HTTPC_OK;
     }
-    if (!r->went) {
+    if (!r->sent) {
         return HTTPC_NOT_SENT;
     }
-    return code == CURLE_OPERATION_TIMEDOUT ? HTTPC_TIMEOUT : HTTPC_CONN_LOST;
+    return code == CURLE_OPERATION_TIMEDOUT ? HTTPC_TIMEOUT
+                                            : HTTPC_FAILED_AFTER_SEND;
 }
 
 static void
@@ -84,7 +85,7 @@
 }
 
 static void
-reap(struct httpc *h)
+finish_completed(struct httpc *h)
 {
     CURLMsg *m;
     int left;
@@ -102,18 +103,18 @@
 }
 
 static void
-act_on(struct httpc *h, curl_socket_t fd, int mask)
+socket_action(struct httpc *h, curl_socket_t fd, int mask)
 {
     int running;
 
     curl_multi_socket_action(h->multi, fd, mask, &running);
-    reap(h);
+    finish_completed(h);
 }
 
 static void
 on_io(struct ev_loop *loop, ev_io *w, int revents)
 {
-    struct watch *watch = w->data;
+    struct socket_watch *watch = w->data;
     int mask = 0;
 
     (void)loop;
@@ -123,7 +124,7 @@
     if (revents & EV_WRITE) {
         mask |= CURL_CSELECT_OUT;
     }
-    act_on(watch->h, watch->fd, mask);
+    socket_action(watch->h, watch->fd, mask);
 }
 
 static void
@@ -133,7 +134,7 @@
 
     (void)loop;
     (void)revents;
-    act_on(h, CURL_SOCKET_TIMEOUT, 0);
+    socket_action(h, CURL_SOCKET_TIMEOUT, 0);
 }
 
 static int
@@ -154,7 +155,7 @@
 watch_socket(CURL *easy, curl_socket_t fd, int what, void *ctx, void *sock)
 {
     struct httpc *h = ctx;
-    struct watch *watch = sock;
+    struct socket_watch *watch = sock;
     int events = 0;
 
     (void)easy;
@@ -188,7 +189,7 @@
     h->loop = loop;
     h->multi = curl_multi_init();
     ev_init(&h->timer, on_timer);
-    /* A call that has been answered has not timed out. */
+    /* Process received responses before timeouts. */
     ev_set_priority(&h->timer, -1);
     h->timer.data = h;
     curl_multi_setopt(h->multi, CURLMOPT_SOCKETFUNCTION, watch_socket);
@@ -197,8 +198,8 @@
     curl_multi_setopt(h->multi, CURLMOPT_TIMERDATA, h);
     curl_multi_setopt(
         h->multi, CURLMOPT_MAX_HOST_CONNECTIONS, (long)host_connections);
-    /* Else the library closes idle ones beyond four times the calls under
-     * way, and opens them again in the next burst. */
+    /* Otherwise libcurl closes idle connections beyond four times the number
+     * of calls in progress and reopens them in the next burst. */
     curl_multi_setopt(h->multi, CURLMOPT_MAXCONNECTS, (long)host_connections);
     return h;
 }
@@ -232,7 +233,7 @@
 }
 
 static int
-on_ready(void *ctx, char *to, char *from, int to_port, int from_port)
+on_before_send(void *ctx, char *to, char *from, int to_port, int from_port)
 {
     struct httpc_req *r = ctx;
 
@@ -240,10 +241,10 @@
     (void)from;
     (void)to_port;
     (void)from_port;
-    if (r->ready != NULL && !r->ready(r->ctx)) {
+    if (r->before_send != NULL && !r->before_send(r->ctx)) {
         return CURL_PREREQFUNC_ABORT;
     }
-    r->went = true;
+    r->sent = true;
     return CURL_PREREQFUNC_OK;
 }
 
@@ -261,7 +262,7 @@
     curl_easy_setopt(e, CURLOPT_ERRORBUFFER, r->error);
     curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, on_body);
     curl_easy_setopt(e, CURLOPT_WRITEDATA, r);
-    curl_easy_setopt(e, CURLOPT_PREREQFUNCTION, on_ready);
+    curl_easy_setopt(e, CURLOPT_PREREQFUNCTION, on_before_send);
     curl_easy_setopt(e, CURLOPT_PREREQDATA, r);
     curl_easy_setopt(e, CURLOPT_TIMEOUT_MS, (long)call->timeout_ms);
     curl_easy_setopt(
@@ -282,12 +283,12 @@
     r->h = h;
     r->easy = curl_easy_init();
     r->done = call->done;
-    r->ready = call->before_send;
+    r->before_send = call->before_send;
     r->data = call->data;
     r->ctx = call->ctx;
-    r->body_max = call->body_max > 0 ? call->body_max : BODY_MAX;
+    r->body_max = call->body_max > 0 ? call->body_max : DEFAULT_BODY_MAX_BYTES;
     buf_add(&r->out, call->body);
-    /* No wait for a "100 Continue" that many servers never send. */
+    /* Do not wait for "100 Continue", which many servers never send. */
     r->headers = curl_slist_append(NULL, "Expect:");
     for (size_t i = 0; call->headers != NULL && call->headers[i] != NULL;
          i++) {
@@ -300,8 +301,8 @@
     }
     h->reqs = r;
     if (curl_multi_add_handle(h->multi, r->easy) != CURLM_OK) {
-        /* Only from inside a callback of the library, which is a fault of
-         * the caller's: the call would never end. */
+        /* Fails only inside a libcurl callback, which is a programming error:
+         * the call would never complete. */
         abort();
     }
     return r;
--- a/httpc.h
+++ b/httpc.h
@@ -1,5 +1,5 @@
 /*
- * httpc - HTTP requests to others, by libcurl multi on the libev loop
+ * httpc - HTTP client using libcurl's multi interface on a libev loop
  */
 #ifndef HTTPC_H
 #define HTTPC_H
@@ -18,44 +18,49 @@
 struct httpc_req;
 
 enum httpc_status {
-    HTTPC_OK,
-    HTTPC_NOT_SENT,  /* refused or prevented: nothing has left */
-    HTTPC_CONN_LOST, /* it may have arrived */
-    HTTPC_TIMEOUT    /* it may have arrived */
+    HTTPC_OK,       /* a complete response, of any HTTP status */
+    HTTPC_NOT_SENT, /* nothing was sent: no connection, or before_send() */
+    HTTPC_FAILED_AFTER_SEND, /* failed after sending: it may have arrived */
+    HTTPC_TIMEOUT            /* timed out after sending: the same */
 };
 
+/* The result of a call, valid only during done(). */
 struct httpc_result {
     enum httpc_status status;
-    long http_status; /* HTTP status, 0 if none */
+    long http_status; /* 0 if there was no response */
     struct str body;
-    const char *error; /* of the library, for the log */
+    const char *error; /* libcurl's message, for the log */
 };
 
 typedef void (*httpc_done_fn)(void *ctx, const struct httpc_result *done);
-/* Called right before the request is written; false keeps it from going. */
+/* Called immediately before the request is written; false cancels it, with
+ * the result HTTPC_NOT_SENT. */
 typedef bool (*httpc_before_send_fn)(void *ctx);
-/* Called with each piece of the answer, in place of keeping it. */
+/* Called with each piece of the response body, which is then not collected. */
 typedef void (*httpc_data_fn)(void *ctx, struct str piece);
 
 struct httpc_call {
-    const char *method;
+    const char *method; /* as in "POST" */
     const char *url;
-    const char *const *headers; /* "Name: value", NULL at the end */
-    struct str body;
-    uint32_t timeout_ms;         /* 0: none */
-    uint32_t connect_timeout_ms; /* 0: the library's */
-    size_t body_max;             /* of the answer; 0: 8 MB */
+    const char *const *headers;  /* "Name: value", NULL at the end */
+    struct str body;             /* of the request; copied */
+    uint32_t timeout_ms;         /* of the whole call; 0: none */
+    uint32_t connect_timeout_ms; /* 0: libcurl's default */
+    size_t body_max;             /* of the response in bytes; 0: 8 MB */
     httpc_done_fn done;
     httpc_before_send_fn before_send; /* may be NULL */
     httpc_data_fn data;               /* may be NULL */
     void *ctx;
 };
 
+/* host_connections is the maximum number of connections to each host. */
 struct httpc *httpc_new(struct ev_loop *loop, uint32_t host_connections);
+/* Cancel all calls and free the client. */
 void httpc_free(struct httpc *h);
-/* Start a call; done() is called exactly once unless it is cancelled. */
+/* Start a call; done() is called exactly once unless the call is cancelled.
+ * Must not be called from httpc_data_fn or httpc_before_send_fn. */
 struct httpc_req *httpc_start(struct httpc *h, const struct httpc_call *call);
-/* Drop a call; done() is not called. */
+/* Cancel a call; done() is not called. */
 void httpc_cancel(struct httpc_req *r);
 
 #ifdef __cplusplus
--- a/test/web-test.cc
+++ b/test/web-test.cc
@@ -1,4 +1,4 @@
-/* The HTTP server over loopback sockets: callers that leave, and a drain. */
+/* HTTP server over loopback sockets: disconnecting callers and draining. */
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -13,8 +13,8 @@
   protected:
     struct ev_loop *loop = ev_loop_new(0);
     struct ::web *w = nullptr;
-    web_req *held = nullptr;
-    int gone = 0;
+    web_req *held_request = nullptr;
+    int disconnects = 0;
     uint16_t port = free_port();
 
     void
@@ -24,14 +24,15 @@
         err e = {""};
 
         ASSERT_EQ(
-            web_open(&w, loop, &cfg, on_request, on_gone, this, &e), WEB_OK)
+            web_open(&w, loop, &cfg, on_request, on_disconnect, this, &e),
+            WEB_OK)
             << e.msg;
     }
     void
     TearDown() override
     {
-        if (held != nullptr) {
-            web_reply(held, 200, "text/plain", STR("late"), 0);
+        if (held_request != nullptr) {
+            web_reply(held_request, 200, "text/plain", STR("late"), 0);
         }
         web_close(w);
         ev_loop_destroy(loop);
@@ -40,19 +41,19 @@
     on_request(void *ctx, web_req *r)
     {
         if (strcmp(web_path(r), "/hold") == 0) {
-            static_cast<Web *>(ctx)->held = r;
+            static_cast<Web *>(ctx)->held_request = r;
             return;
         }
         web_reply(r, 200, "text/plain", STR("ok"), 0);
     }
     static void
-    on_gone(void *ctx, web_req *)
+    on_disconnect(void *ctx, web_req *)
     {
-        static_cast<Web *>(ctx)->gone++;
-        static_cast<Web *>(ctx)->held = nullptr;
+        static_cast<Web *>(ctx)->disconnects++;
+        static_cast<Web *>(ctx)->held_request = nullptr;
     }
     int
-    connect_to()
+    connect_server()
     {
         sockaddr_in sa = {};
         int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -64,7 +65,7 @@
         return fd;
     }
     void
-    ask(int fd, const char *path)
+    send_get(int fd, const char *path)
     {
         std::string text =
             std::string("GET ") + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -89,7 +90,7 @@
         }
         return done();
     }
-    /* What came, once it holds the word or nothing more comes. */
+    /* Read until the text contains word or the connection is closed. */
     std::string
     read_until(int fd, const char *word)
     {
@@ -110,49 +111,49 @@
 
 } // namespace
 
-/* Work goes on for nobody: the caller left while its request waited, and
- * nothing looked at its connection. */
-TEST_F(Web, ACallerThatLeavesIsNoticedWhileItsRequestWaits)
+/* A caller disconnects while its request waits.  If this goes undetected, its
+ * work continues needlessly. */
+TEST_F(Web, ADisconnectIsDetectedWhileTheRequestWaits)
 {
-    int fd = connect_to();
+    int fd = connect_server();
 
-    ask(fd, "/hold");
-    ASSERT_TRUE(until([&] { return held != nullptr; }));
+    send_get(fd, "/hold");
+    ASSERT_TRUE(until([&] { return held_request != nullptr; }));
     close(fd);
-    EXPECT_TRUE(until([&] { return gone == 1; }));
+    EXPECT_TRUE(until([&] { return disconnects == 1; }));
     EXPECT_TRUE(until([&] { return web_open_requests(w) == 0; }));
 }
 
-TEST_F(Web, ACallerThatStaysIsAnswered)
+TEST_F(Web, ADelayedReplyIsSent)
 {
-    int fd = connect_to();
+    int fd = connect_server();
 
-    ask(fd, "/hold");
-    ASSERT_TRUE(until([&] { return held != nullptr; }));
-    web_reply(held, 200, "text/plain", STR("late"), 0);
-    held = nullptr;
+    send_get(fd, "/hold");
+    ASSERT_TRUE(until([&] { return held_request != nullptr; }));
+    web_reply(held_request, 200, "text/plain", STR("late"), 0);
+    held_request = nullptr;
     EXPECT_NE(read_until(fd, "late").find("late"), std::string::npos);
-    EXPECT_EQ(gone, 0);
+    EXPECT_EQ(disconnects, 0);
     close(fd);
 }
 
-/* A request is cut off by a planned stop: it came seconds after the signal on
- * a connection that had stayed open.  A drain closes idle connections. */
-TEST_F(Web, ADrainClosesIdleConnectionsAndSaysSoOnTheOthers)
+/* A planned stop must not cut off a request that arrives seconds after the
+ * signal on a connection left open: a drain closes idle connections. */
+TEST_F(Web, ADrainClosesIdleConnectionsAndSendsConnectionClose)
 {
-    int idle = connect_to();
-    int busy = connect_to();
+    int idle = connect_server();
+    int busy = connect_server();
 
-    ask(idle, "/");
+    send_get(idle, "/");
     EXPECT_NE(read_until(idle, "ok").find("ok"), std::string::npos);
-    ask(busy, "/hold");
-    ASSERT_TRUE(until([&] { return held != nullptr; }));
+    send_get(busy, "/hold");
+    ASSERT_TRUE(until([&] { return held_request != nullptr; }));
     web_drain(w);
     char byte;
     EXPECT_TRUE(
         until([&] { return recv(idle, &byte, 1, MSG_DONTWAIT) == 0; }));
-    web_reply(held, 200, "text/plain", STR("late"), 0);
-    held = nullptr;
+    web_reply(held_request, 200, "text/plain", STR("late"), 0);
+    held_request = nullptr;
     std::string answer = read_until(busy, "late");
     EXPECT_NE(answer.find("late"), std::string::npos);
     EXPECT_NE(answer.find("close"), std::string::npos) << answer;
--- a/web.c
+++ b/web.c
@@ -10,7 +10,8 @@
 #include <unistd.h>
 #include <utlist.h>
 
-#define CONNECTION_MEMORY 65536U
+#define CONNECTION_MEMORY_BYTES 65536U
+/* Idle timeout of connections during a drain. */
 #define DRAIN_IDLE_S 1U
 
 /* One open connection. */
@@ -27,12 +28,12 @@
     const char *method;
     char *path;
     struct buf body;
-    bool too_large;
-    bool handled;
+    bool too_large; /* the body exceeds cfg.body_max */
+    bool handled;   /* the handler was called */
     bool replied;
-    bool suspended;
-    ev_io gone_io; /* while suspended */
-    struct MHD_Response *response;
+    bool suspended;      /* in the library, until the reply */
+    ev_io disconnect_io; /* detects a disconnect; active while suspended */
+    struct MHD_Response *response; /* not yet queued; else NULL */
     unsigned status;
     void *ctx;
 };
@@ -43,15 +44,15 @@
     struct MHD_Daemon *mhd;
     ev_io io;
     ev_timer timer;
-    ev_prepare prepare; /* the end of a pass */
+    ev_prepare prepare; /* the end of a loop iteration */
     web_handle_fn handle;
-    web_disconnect_fn gone;
+    web_disconnect_fn disconnected;
     void *ctx;
-    size_t open;
+    size_t open; /* requests */
     bool draining;
     struct web_conn *conns;
-    bool due;     /* there is something to read or to send */
-    bool closing; /* each answer asks the caller to connect anew */
+    bool work_pending;      /* something to read or send */
+    bool close_after_reply; /* see web_set_close_after_reply() */
 };
 
 static void
@@ -67,9 +68,9 @@
 }
 
 static void
-run(struct web *w)
+run_mhd(struct web *w)
 {
-    w->due = false;
+    w->work_pending = false;
     MHD_run(w->mhd);
     arm_timer(w);
 }
@@ -77,15 +78,15 @@
 void
 web_flush(struct web *w)
 {
-    if (w->due) {
-        run(w);
+    if (w->work_pending) {
+        run_mhd(w);
     }
 }
 
 /*
- * A run looks at every connection, takes in what has come and sends what was
- * answered.  So there is one for all of it at the end of a pass of the loop:
- * a run for each answer would keep an entry with much to read from all else.
+ * MHD_run() visits every connection to read requests and send replies.  It is
+ * therefore called once at the end of a loop iteration: a call for each reply
+ * would leave a busy entry no time for other work.
  */
 static void
 on_io(struct ev_loop *loop, ev_io *io, int revents)
@@ -94,7 +95,7 @@
 
     (void)loop;
     (void)revents;
-    w->due = true;
+    w->work_pending = true;
 }
 
 static void
@@ -104,7 +105,7 @@
 
     (void)loop;
     (void)revents;
-    w->due = true;
+    w->work_pending = true;
 }
 
 static void
@@ -116,7 +117,7 @@
 }
 
 static void *
-begin(void *ctx, const char *uri, struct MHD_Connection *conn)
+on_request_start(void *ctx, const char *uri, struct MHD_Connection *conn)
 {
     struct web_req *r = dw_zero(1, sizeof(*r));
     const char *query = strchr(uri, '?');
@@ -130,7 +131,7 @@
 }
 
 static void
-complete(void *ctx, struct MHD_Connection *conn, void **req_ctx,
+on_request_completed(void *ctx, struct MHD_Connection *conn, void **req_ctx,
     enum MHD_RequestTerminationCode how)
 {
     struct web *w = ctx;
@@ -142,10 +143,10 @@
         return;
     }
     if (r->suspended) {
-        ev_io_stop(w->loop, &r->gone_io);
+        ev_io_stop(w->loop, &r->disconnect_io);
     }
     if (r->handled && !r->replied) {
-        w->gone(w->ctx, r);
+        w->disconnected(w->ctx, r);
     }
     if (r->response != NULL) {
         MHD_destroy_response(r->response);
@@ -172,13 +173,13 @@
 {
     r->suspended = false;
     MHD_resume_connection(r->conn);
-    r->w->due = true;
+    r->w->work_pending = true;
 }
 
-/* The library does not look at a suspended connection, so a caller that left
- * would go unnoticed and its work go on for nobody. */
+/* The library does not watch a suspended connection, so a disconnected caller
+ * would go unnoticed and its work would continue needlessly. */
 static void
-on_gone(struct ev_loop *loop, ev_io *io, int revents)
+on_disconnect(struct ev_loop *loop, ev_io *io, int revents)
 {
     struct web_req *r = io->data;
     char byte;
@@ -190,9 +191,9 @@
     }
     ev_io_stop(loop, io);
     if (n > 0) {
-        return; /* its next request, early */
+        return; /* a pipelined request */
     }
-    r->w->gone(r->w->ctx, r);
+    r->w->disconnected(r->w->ctx, r);
     r->replied = true;
     r->status = MHD_HTTP_SERVICE_UNAVAILABLE;
     r->response =
@@ -201,18 +202,18 @@
 }
 
 static void
-watch_gone(struct web_req *r)
+watch_disconnect(struct web_req *r)
 {
     const union MHD_ConnectionInfo *info =
         MHD_get_connection_info(r->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
 
-    ev_io_init(&r->gone_io, on_gone, info->connect_fd, EV_READ);
-    r->gone_io.data = r;
-    ev_io_start(r->w->loop, &r->gone_io);
+    ev_io_init(&r->disconnect_io, on_disconnect, info->connect_fd, EV_READ);
+    r->disconnect_io.data = r;
+    ev_io_start(r->w->loop, &r->disconnect_io);
 }
 
 static enum MHD_Result
-handle_whole(struct web_req *r)
+handle_complete(struct web_req *r)
 {
     if (r->replied) {
         return queue_reply(r);
@@ -223,7 +224,7 @@
     r->handled = true;
     if (r->too_large) {
         web_problem(r, MHD_HTTP_CONTENT_TOO_LARGE, "body_too_large",
-            "the request's body is larger than this server takes", 0);
+            "the request body exceeds this server's limit", 0);
     }
     else {
         r->w->handle(r->w->ctx, r);
@@ -233,7 +234,7 @@
     }
     r->suspended = true;
     MHD_suspend_connection(r->conn);
-    watch_gone(r);
+    watch_disconnect(r);
     return MHD_YES;
 }
 
@@ -262,11 +263,11 @@
         *size = 0;
         return MHD_YES;
     }
-    return handle_whole(r);
+    return handle_complete(r);
 }
 
 static void
-shorten_idle(struct web_conn *c)
+set_drain_timeout(struct web_conn *c)
 {
     MHD_set_connection_option(
         c->conn, MHD_CONNECTION_OPTION_TIMEOUT, DRAIN_IDLE_S);
@@ -290,13 +291,14 @@
     *socket_ctx = c;
     DL_APPEND(w->conns, c);
     if (w->draining) {
-        shorten_idle(c);
+        set_drain_timeout(c);
     }
 }
 
 enum web_status
 web_open(struct web **out, struct ev_loop *loop, const struct web_cfg *cfg,
-    web_handle_fn handle, web_disconnect_fn gone, void *ctx, struct err *e)
+    web_handle_fn handle, web_disconnect_fn disconnected, void *ctx,
+    struct err *e)
 {
     struct web *w = dw_zero(1, sizeof(*w));
     const union MHD_DaemonInfo *info;
@@ -305,20 +307,21 @@
     w->loop = loop;
     w->cfg = *cfg;
     w->handle = handle;
-    w->gone = gone;
+    w->disconnected = disconnected;
     w->ctx = ctx;
     sa.sin_family = AF_INET;
     sa.sin_port = htons(cfg->port);
     if (inet_pton(AF_INET, cfg->addr, &sa.sin_addr) == 1) {
         w->mhd = MHD_start_daemon(MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME,
             cfg->port, NULL, NULL, on_access, w, MHD_OPTION_SOCK_ADDR,
-            (struct sockaddr *)&sa, MHD_OPTION_URI_LOG_CALLBACK, begin, w,
-            MHD_OPTION_NOTIFY_COMPLETED, complete, w,
-            MHD_OPTION_NOTIFY_CONNECTION, on_connection, w,
-            MHD_OPTION_CONNECTION_LIMIT, cfg->connections_max,
-            MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY,
-            MHD_OPTION_CONNECTION_TIMEOUT, cfg->idle_s,
-            MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
+            (struct sockaddr *)&sa, MHD_OPTION_URI_LOG_CALLBACK,
+            on_request_start, w, MHD_OPTION_NOTIFY_COMPLETED,
+            on_request_completed, w, MHD_OPTION_NOTIFY_CONNECTION,
+            on_connection, w, MHD_OPTION_CONNECTION_LIMIT,
+            cfg->connections_max, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+            (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_CONNECTION_TIMEOUT,
+            cfg->idle_s, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U,
+            MHD_OPTION_END);
     }
     if (w->mhd == NULL) {
         err_set(e, "HTTP %s:%u: %s", cfg->addr, cfg->port, strerror(errno));
@@ -344,8 +347,8 @@
 {
     MHD_socket fd;
 
-    /* Whoever has connected already is served. */
-    run(w);
+    /* Accept connections that are already established. */
+    run_mhd(w);
     fd = MHD_quiesce_daemon(w->mhd);
 
     if (fd != MHD_INVALID_SOCKET) {
@@ -360,7 +363,7 @@
 
     w->draining = true;
     DL_FOREACH (w->conns, c) {
-        shorten_idle(c);
+        set_drain_timeout(c);
     }
     arm_timer(w);
 }
@@ -368,7 +371,7 @@
 void
 web_set_close_after_reply(struct web *w, bool on)
 {
-    w->closing = on;
+    w->close_after_reply = on;
 }
 
 size_t
@@ -456,14 +459,14 @@
         MHD_add_response_header(
             r->response, MHD_HTTP_HEADER_RETRY_AFTER, number);
     }
-    if (r->w->draining || r->w->closing) {
+    if (r->w->draining || r->w->close_after_reply) {
         MHD_add_response_header(
             r->response, MHD_HTTP_HEADER_CONNECTION, "close");
     }
     r->status = status;
     r->replied = true;
     if (r->suspended) {
-        ev_io_stop(r->w->loop, &r->gone_io);
+        ev_io_stop(r->w->loop, &r->disconnect_io);
         resume(r);
     }
 }
--- a/web.h
+++ b/web.h
@@ -1,10 +1,10 @@
 /*
- * web - HTTP server by libmicrohttpd on the libev loop
+ * web - HTTP server using libmicrohttpd on a libev loop
  *
- * A handler answers at once with web_reply() or later, while the connection
- * is suspended; answers leave before the loop waits again.  What comes is
- * read at the end of a pass of the loop.  Malformed, oversized and slow
- * requests are ended here and cost no one else.
+ * A handler calls web_reply() at once or later; meanwhile the connection is
+ * suspended.  Sockets are read and replies are sent once at the end of each
+ * loop iteration, before the loop waits for events.  Malformed, oversized and
+ * slow requests are rejected here without affecting other callers.
  */
 #ifndef WEB_H
 #define WEB_H
@@ -21,58 +21,73 @@
 #endif
 
 struct web;
+/* A request, valid until its reply or its web_disconnect_fn call. */
 struct web_req;
 
 struct web_cfg {
-    const char *addr;
+    const char *addr; /* numeric IPv4 address to listen on */
     uint16_t port;
     uint32_t connections_max;
-    uint32_t body_max;
-    uint32_t idle_s; /* a caller silent for longer is cut off */
+    uint32_t body_max; /* bytes; larger requests get status 413 */
+    uint32_t idle_s;   /* connections idle for longer are closed */
 };
 
 enum web_status { WEB_OK, WEB_NO_SOCKET };
 
-/* A whole request has come.  The handler must see to one web_reply(). */
+/* Called with each complete request.  The handler must call web_reply() or
+ * web_problem() exactly once, now or later, unless web_disconnect_fn
+ * is called for r. */
 typedef void (*web_handle_fn)(void *ctx, struct web_req *r);
-/* The caller has gone before its reply; r must not be used after. */
+/* Called if the caller disconnects before its reply; r must not be used
+ * afterwards. */
 typedef void (*web_disconnect_fn)(void *ctx, struct web_req *r);
 
+/* Listen as cfg says.  On an error *out is not set and e describes it. */
 enum web_status web_open(struct web **out, struct ev_loop *loop,
-    const struct web_cfg *cfg, web_handle_fn handle, web_disconnect_fn gone,
-    void *ctx, struct err *e);
-/* Read what has come and send what was answered; done by itself before the
- * loop waits. */
+    const struct web_cfg *cfg, web_handle_fn handle,
+    web_disconnect_fn disconnected, void *ctx, struct err *e);
+/* Read pending requests and send pending replies.  The loop does this itself
+ * before it waits. */
 void web_flush(struct web *w);
-/* Take no new connections; those open are served. */
+/* Accept no new connections; open ones are still served. */
 void web_stop_accepting(struct web *w);
-/* Ask callers, with each answer from now on, to connect anew elsewhere, and
- * close connections that are idle for a second: what comes on one that stays
- * open would come too late to be served. */
+/* Prepare a shutdown: send each reply from now on with "Connection: close", so
+ * that callers reconnect elsewhere, and close connections that are idle for a
+ * second, because a request on one that stayed open would arrive too late to
+ * be served. */
 void web_drain(struct web *w);
-/* Ask callers, with each answer while it is on, to connect anew elsewhere. */
+/* While on, send each reply with "Connection: close", so that callers
+ * reconnect elsewhere. */
 void web_set_close_after_reply(struct web *w, bool on);
+/* Requests being received, handled or replied to. */
 size_t web_open_requests(const struct web *w);
+/* Send pending replies and stop the server. */
 void web_close(struct web *w);
 
-/* Queries of a request. */
+/* Accessors of a request; strings are valid as long as the request. */
 const char *web_method(const struct web_req *r);
+/* Without the query. */
 const char *web_path(const struct web_req *r);
-/* NULL if the request has none. */
+/* NULL if the request has no such header. */
 const char *web_header(const struct web_req *r, const char *name);
+/* A parameter of the query string; NULL if absent. */
 const char *web_query(const struct web_req *r, const char *name);
 struct str web_body(const struct web_req *r);
-/* The caller is on this machine's loopback address. */
+/* True if the caller's address is in 127.0.0.0/8. */
 bool web_is_local(const struct web_req *r);
 
-/* A place for the handler's own state; NULL at first. */
+/* A pointer for the handler's own state, initially NULL. */
 void web_set_ctx(struct web_req *r, void *ctx);
 void *web_ctx(const struct web_req *r);
 
-/* type as in "application/json"; retry_s 0 leaves Retry-After out. */
+/* Reply to r; the body is copied.  type is the media type, as in
+ * "application/json".  retry_s is the Retry-After header in seconds, 0 for
+ * none. */
 void web_reply(struct web_req *r, unsigned status, const char *type,
     struct str body, uint32_t retry_s);
-/* A problem of RFC 9457, application/problem+json. */
+/* Reply with problem details as application/problem+json.  kind becomes the
+ * title and, after "urn:dunlinweir:", the type.
+ * Source: RFC 9457. */
 void web_problem(struct web_req *r, unsigned status, const char *kind,
     const char *detail, uint32_t retry_s);
 
