--- a/store.c
+++ b/store.c
@@ -11,9 +11,10 @@
 #include "view.h"
 
 #define URL_MAX 256
-/* A watch that broke is opened again after this long, doubling. */
-#define WATCH_RETRY_MIN 0.2
-#define WATCH_RETRY_MAX 5.0
+/* Delays in seconds before a failed watch is opened again; the delay doubles
+ * with each failure. */
+#define WATCH_RETRY_MIN_S 0.2
+#define WATCH_RETRY_MAX_S 5.0
 
 struct etcd {
     struct store base;
@@ -23,16 +24,16 @@
     uint32_t timeout_ms;
     char prefix[128];
     struct httpc_req *watch;
-    struct buf watch_line;
-    store_change_fn hint;
-    void *hint_ctx;
-    ev_timer again;
-    ev_timer tell; /* a change was seen; see on_watch_line() */
-    double wait;
+    struct buf watch_line; /* received part of the current line */
+    store_change_fn on_change;
+    void *on_change_ctx;
+    ev_timer retry_timer;
+    ev_timer notify_timer; /* runs on_change; see on_watch_line() */
+    double retry_s;        /* delay before the next watch */
 };
 
-/* One call on its way. */
-struct call {
+/* A call in progress; one of rev, all and txn is set. */
+struct etcd_call {
     struct etcd *s;
     store_check_fn rev;
     store_read_fn all;
@@ -40,11 +41,11 @@
     void *ctx;
 };
 
-/* --- answers --- */
+/* --- responses --- */
 
-/* The gateway writes 64-bit numbers as strings; some proxies as numbers. */
+/* The gateway writes 64-bit numbers as strings, some proxies as numbers. */
 static uint64_t
-number(json_t *o, const char *name)
+get_number(json_t *o, const char *name)
 {
     json_t *v = json_object_get(o, name);
 
@@ -55,7 +56,7 @@
 }
 
 static json_t *
-parse(const struct httpc_result *d)
+parse_body(const struct httpc_result *d)
 {
     if (d->status != HTTPC_OK || d->http_status != 200) {
         return NULL;
@@ -81,11 +82,12 @@
     }
     kv->value.dw_value_val = base64_read(value != NULL ? value : "", &n);
     kv->value.dw_value_len = kv->value.dw_value_val != NULL ? (u_int)n : 0;
-    kv->mod = number(row, "mod_revision");
+    kv->mod = get_number(row, "mod_revision");
     return kv->value.dw_value_val != NULL;
 }
 
-/* False if any row is damaged: half a state must not be taken for all. */
+/* False if any row is malformed: a partial state must not pass for the
+ * complete one. */
 static bool
 read_state(json_t *o, dw_state *st)
 {
@@ -111,7 +113,7 @@
 }
 
 static enum store_status
-fail(struct etcd *s, const char *what, const struct httpc_result *d)
+record_failure(struct etcd *s, const char *what, const struct httpc_result *d)
 {
     s->base.stats.failures++;
     log_event(LOG_LEVEL_DEBUG, "store_failed", "call=%s code=%ld error=\"%s\"",
@@ -122,17 +124,17 @@
 static void
 on_check(void *ctx, const struct httpc_result *d)
 {
-    struct call *c = ctx;
-    json_t *o = parse(d);
+    struct etcd_call *c = ctx;
+    json_t *o = parse_body(d);
     json_t *rows = json_object_get(o, "kvs");
 
     if (o == NULL) {
-        fail(c->s, "check", d);
+        record_failure(c->s, "check", d);
         c->rev(c->ctx, STORE_UNREACHABLE, 0);
     }
     else {
-        c->rev(
-            c->ctx, STORE_OK, number(json_array_get(rows, 0), "mod_revision"));
+        c->rev(c->ctx, STORE_OK,
+            get_number(json_array_get(rows, 0), "mod_revision"));
     }
     json_decref(o);
     free(c);
@@ -141,12 +143,12 @@
 static void
 on_read(void *ctx, const struct httpc_result *d)
 {
-    struct call *c = ctx;
-    json_t *o = parse(d);
+    struct etcd_call *c = ctx;
+    json_t *o = parse_body(d);
     dw_state st = {0};
 
     if (o == NULL || !read_state(o, &st)) {
-        fail(c->s, "read", d);
+        record_failure(c->s, "read", d);
         c->all(c->ctx, STORE_UNREACHABLE, NULL);
     }
     else {
@@ -160,15 +162,15 @@
 static void
 on_txn(void *ctx, const struct httpc_result *d)
 {
-    struct call *c = ctx;
-    json_t *o = parse(d);
+    struct etcd_call *c = ctx;
+    json_t *o = parse_body(d);
 
     if (o == NULL) {
-        c->txn(c->ctx, fail(c->s, "txn", d), 0);
+        c->txn(c->ctx, record_failure(c->s, "txn", d), 0);
     }
     else if (json_is_true(json_object_get(o, "succeeded"))) {
         c->txn(c->ctx, STORE_OK,
-            number(json_object_get(o, "header"), "revision"));
+            get_number(json_object_get(o, "header"), "revision"));
     }
     else {
         c->txn(c->ctx, STORE_CONFLICT, 0);
@@ -202,10 +204,10 @@
     return httpc_start(s->http, &call);
 }
 
-static struct call *
+static struct etcd_call *
 new_call(struct store *base, void *ctx)
 {
-    struct call *c = dw_zero(1, sizeof(*c));
+    struct etcd_call *c = dw_zero(1, sizeof(*c));
 
     c->s = (struct etcd *)base;
     c->ctx = ctx;
@@ -220,9 +222,9 @@
     buf_add(b, STR("\""));
 }
 
-/* The end of a prefix's range is the prefix with its last byte one higher. */
+/* The range of a prefix ends at the prefix with its last byte incremented. */
 static void
-add_prefix(struct buf *b, const char *prefix)
+add_range(struct buf *b, const char *prefix)
 {
     size_t n = strlen(prefix);
     char end[128];
@@ -237,7 +239,7 @@
 static void
 etcd_check(struct store *base, store_check_fn fn, void *ctx)
 {
-    struct call *c = new_call(base, ctx);
+    struct etcd_call *c = new_call(base, ctx);
     struct buf b = {0};
 
     c->rev = fn;
@@ -253,13 +255,13 @@
 static void
 etcd_read(struct store *base, const char *prefix, store_read_fn fn, void *ctx)
 {
-    struct call *c = new_call(base, ctx);
+    struct etcd_call *c = new_call(base, ctx);
     struct buf b = {0};
 
     c->all = fn;
     base->stats.reads++;
     buf_add(&b, STR("{"));
-    add_prefix(&b, prefix);
+    add_range(&b, prefix);
     buf_add(&b, STR("}"));
     post(
         c->s, "/v3/kv/range", buf_str(&b), c->s->timeout_ms, on_read, NULL, c);
@@ -299,7 +301,7 @@
         add_put(b, &t->puts[i]);
         buf_add(b, STR(","));
     }
-    /* Every write moves the stream's newest revision. */
+    /* Every write changes the revision of this key, which check() reads. */
     add_put(b, &last);
     buf_add(b, STR("],\"failure\":[]}"));
 }
@@ -307,7 +309,7 @@
 static void
 etcd_txn(struct store *base, const struct txn *t, store_txn_fn fn, void *ctx)
 {
-    struct call *c = new_call(base, ctx);
+    struct etcd_call *c = new_call(base, ctx);
     struct buf b = {0};
 
     c->txn = fn;
@@ -328,25 +330,25 @@
     json_t *result = json_object_get(o, "result");
 
     if (result != NULL) {
-        s->wait = WATCH_RETRY_MIN;
+        s->retry_s = WATCH_RETRY_MIN_S;
     }
     if (json_array_size(json_object_get(result, "events")) > 0) {
-        /* libcurl takes no new call from inside its own callback: the read
-         * that follows a hint would never leave. */
-        ev_timer_start(s->loop, &s->tell);
+        /* libcurl accepts no new call inside its own callback, and on_change
+         * usually starts a read, so it runs from a timer. */
+        ev_timer_start(s->loop, &s->notify_timer);
     }
     json_decref(o);
 }
 
 static void
-on_tell(struct ev_loop *loop, ev_timer *w, int revents)
+on_notify(struct ev_loop *loop, ev_timer *w, int revents)
 {
     struct etcd *s = w->data;
 
     (void)loop;
     (void)revents;
-    if (s->hint != NULL) {
-        s->hint(s->hint_ctx);
+    if (s->on_change != NULL) {
+        s->on_change(s->on_change_ctx);
     }
 }
 
@@ -373,13 +375,14 @@
     log_event(LOG_LEVEL_DEBUG, "watch_ended", "error=\"%s\"", d->error);
     s->watch = NULL;
     s->watch_line.n = 0;
-    ev_timer_set(&s->again, s->wait, 0.0);
-    ev_timer_start(s->loop, &s->again);
-    s->wait = s->wait * 2 > WATCH_RETRY_MAX ? WATCH_RETRY_MAX : s->wait * 2;
+    ev_timer_set(&s->retry_timer, s->retry_s, 0.0);
+    ev_timer_start(s->loop, &s->retry_timer);
+    s->retry_s = s->retry_s * 2 > WATCH_RETRY_MAX_S ? WATCH_RETRY_MAX_S
+                                                    : s->retry_s * 2;
 }
 
 static void
-on_again(struct ev_loop *loop, ev_timer *w, int revents)
+on_retry(struct ev_loop *loop, ev_timer *w, int revents)
 {
     (void)loop;
     (void)revents;
@@ -393,7 +396,7 @@
 
     s->base.stats.watches++;
     buf_add(&b, STR("{\"create_request\":{"));
-    add_prefix(&b, s->prefix);
+    add_range(&b, s->prefix);
     buf_add(&b, STR("}}"));
     s->watch =
         post(s, "/v3/watch", buf_str(&b), 0, on_watch_done, on_watch_data, s);
@@ -406,12 +409,12 @@
 {
     struct etcd *s = (struct etcd *)base;
 
-    if (s->hint != NULL) {
+    if (s->on_change != NULL) {
         return;
     }
-    s->hint = fn;
-    s->hint_ctx = ctx;
-    s->wait = WATCH_RETRY_MIN;
+    s->on_change = fn;
+    s->on_change_ctx = ctx;
+    s->retry_s = WATCH_RETRY_MIN_S;
     str_copy(s->prefix, sizeof(s->prefix), str_of(prefix));
     open_watch(s);
 }
@@ -421,13 +424,13 @@
 {
     struct etcd *s = (struct etcd *)base;
 
-    ev_timer_stop(s->loop, &s->again);
-    ev_timer_stop(s->loop, &s->tell);
+    ev_timer_stop(s->loop, &s->retry_timer);
+    ev_timer_stop(s->loop, &s->notify_timer);
     if (s->watch != NULL) {
         httpc_cancel(s->watch);
         s->watch = NULL;
     }
-    s->hint = NULL;
+    s->on_change = NULL;
 }
 
 static void
@@ -460,9 +463,9 @@
     s->http = http;
     s->timeout_ms = timeout_ms;
     str_copy(s->url, sizeof(s->url), str_of(url));
-    ev_init(&s->again, on_again);
-    s->again.data = s;
-    ev_timer_init(&s->tell, on_tell, 0.0, 0.0);
-    s->tell.data = s;
+    ev_init(&s->retry_timer, on_retry);
+    s->retry_timer.data = s;
+    ev_timer_init(&s->notify_timer, on_notify, 0.0, 0.0);
+    s->notify_timer.data = s;
     return &s->base;
 }
