--- a/log.c
+++ b/log.c
@@ -13,49 +13,53 @@
 
 #include "str.h"
 
-#define LINE_MAX_LEN 1024
+#define LINE_MAX_BYTES 1024
 #define CATEGORY "dunlinweir"
 
-/* Standard output: lines wait here until log_flush(). */
-#define PENDING_MAX 65536U
-/* A pipe that poll(2) calls writable takes this much without blocking. */
-#define WRITE_MAX 4096U
+/* Lines for standard output are buffered until log_flush(). */
+#define PENDING_MAX_BYTES 65536U
+/* A pipe that poll(2) reports writable accepts this much without blocking:
+ * PIPE_BUF on Linux. */
+#define WRITE_MAX_BYTES 4096U
 
 /*
- * Lines of one event a second.  What went well is kept as samples only, so
- * that under load the decisions that refuse, repeat, stop or move work stay
- * whole and the processor serves callers.
+ * Limits of one event's lines per second.  Events of success are only sampled,
+ * so that under load the decisions to refuse, retry, stop or move work are
+ * logged completely and processor time remains for callers.
  */
-#define LIMIT_USUAL 50U
-#define LIMIT_SAMPLE 5U
-#define KINDS_MAX 64U
+#define LINES_PER_SECOND 50U
+#define SAMPLED_LINES_PER_SECOND 5U
+/* Further events share the last element. */
+#define EVENT_RATES_MAX 64U
 
-struct kind {
+/* The lines of one event in the current second. */
+struct event_rate {
     const char *event;
     time_t second;
-    unsigned taken;
-    unsigned left_out;
+    unsigned written;
+    unsigned suppressed;
 };
 
-static const char *const samples[] = {
+static const char *const sampled_events[] = {
     "job_done", "run_done", "run_full", "request_given"};
 
-static struct kind kinds[KINDS_MAX];
-static size_t kind_count;
+static struct event_rate event_rates[EVENT_RATES_MAX];
+static size_t event_rate_count;
 static bool to_stdout;
-static char pending[PENDING_MAX];
-static size_t pending_n;
-static unsigned long lost;
+static char pending[PENDING_MAX_BYTES];
+static size_t pending_bytes;
+static unsigned long lines_lost;
 
-/* The last lines, as strings one after the other.  A string that did not fit
- * at the end went to the front; what it ran into is forgotten. */
+/* A ring of the most recent lines as consecutive NUL-terminated strings.  A
+ * string that does not fit at the end is stored at the front and overwrites
+ * the oldest ones. */
 static char recent[LOG_RECENT_MAX_BYTES];
-static size_t recent_at;   /* where the next goes */
-static size_t recent_last; /* behind the newest at the end; 0: none there */
+static size_t recent_next; /* where the next line is stored */
+static size_t recent_wrap; /* end of the older lines; 0 if none */
 
 static FILE *stream;
 static char path[256];
-static char line[LINE_MAX_LEN + 128];
+static char line[LINE_MAX_BYTES + 128];
 static log4c_category_t *category;
 
 static const int priorities[] = {
@@ -97,57 +101,58 @@
 }
 
 static void
-keep_line(const char *text)
+queue_line(const char *text)
 {
     size_t n = strlen(text);
 
-    if (pending_n + n + 1 > PENDING_MAX) {
-        lost++;
+    if (pending_bytes + n + 1 > PENDING_MAX_BYTES) {
+        lines_lost++;
         return;
     }
-    memcpy(pending + pending_n, text, n + 1);
-    pending_n += n;
+    memcpy(pending + pending_bytes, text, n + 1);
+    pending_bytes += n;
 }
 
-/* A reader that stopped reading, or has gone, costs lines and no request. */
+/* A reader that stops or exits costs log lines but never blocks a request. */
 void
 log_flush(void)
 {
     struct pollfd p = {STDOUT_FILENO, POLLOUT, 0};
 
-    while (
-        pending_n > 0 && poll(&p, 1, 0) == 1 && (p.revents & POLLOUT) != 0) {
-        size_t n = pending_n < WRITE_MAX ? pending_n : WRITE_MAX;
+    while (pending_bytes > 0 && poll(&p, 1, 0) == 1 &&
+           (p.revents & POLLOUT) != 0) {
+        size_t n =
+            pending_bytes < WRITE_MAX_BYTES ? pending_bytes : WRITE_MAX_BYTES;
         ssize_t done = write(STDOUT_FILENO, pending, n);
 
         if (done <= 0) {
             return;
         }
-        pending_n -= (size_t)done;
-        memmove(pending, pending + done, pending_n);
+        pending_bytes -= (size_t)done;
+        memmove(pending, pending + done, pending_bytes);
     }
 }
 
 unsigned long
 log_lines_lost(void)
 {
-    return lost;
+    return lines_lost;
 }
 
 static void
-remember_line(const char *text)
+add_recent(const char *text)
 {
     size_t n = strlen(text) + 1;
 
-    if (recent_at + n > LOG_RECENT_MAX_BYTES) {
-        recent_last = recent_at;
-        recent_at = 0;
+    if (recent_next + n > LOG_RECENT_MAX_BYTES) {
+        recent_wrap = recent_next;
+        recent_next = 0;
     }
-    memcpy(recent + recent_at, text, n);
-    recent_at += n;
+    memcpy(recent + recent_next, text, n);
+    recent_next += n;
 }
 
-/* Strings from `from` up to `to`; the first may have lost its head. */
+/* Call fn for the strings in [from, to) that contain field. */
 static void
 each_line(size_t from, size_t to, const char *field,
     void (*fn)(void *ctx, const char *text), void *ctx)
@@ -166,23 +171,23 @@
 log_recent(
     const char *field, void (*fn)(void *ctx, const char *text), void *ctx)
 {
-    size_t oldest = recent_at;
+    size_t oldest = recent_next;
 
-    /* The string that was run into is not whole any more. */
-    while (oldest < recent_last && recent[oldest] != '\0') {
+    /* Skip the rest of the line that is partly overwritten. */
+    while (oldest < recent_wrap && recent[oldest] != '\0') {
         oldest++;
     }
-    each_line(oldest + 1, recent_last, field, fn, ctx);
-    each_line(0, recent_at, field, fn, ctx);
+    each_line(oldest + 1, recent_wrap, field, fn, ctx);
+    each_line(0, recent_next, field, fn, ctx);
 }
 
 static int
 append_line(log4c_appender_t *appender, const log4c_logging_event_t *ev)
 {
     (void)appender;
-    remember_line(ev->evt_rendered_msg);
+    add_recent(ev->evt_rendered_msg);
     if (to_stdout) {
-        keep_line(ev->evt_rendered_msg);
+        queue_line(ev->evt_rendered_msg);
         return 0;
     }
     if (stream == NULL) {
@@ -227,7 +232,7 @@
     log4c_layout_type_set(&layout_type);
     log4c_appender_type_set(&appender_type);
     if (log4c_init() != 0) {
-        err_set(e, "log4c does not start");
+        err_set(e, "log4c_init failed");
         return LOG_BAD_LIBRARY;
     }
     layout = log4c_layout_get("kv");
@@ -260,60 +265,62 @@
     category = NULL;
 }
 
-static struct kind *
-kind_of(const char *event)
+static struct event_rate *
+find_event_rate(const char *event)
 {
     size_t i;
 
-    for (i = 0; i < kind_count; i++) {
-        if (strcmp(kinds[i].event, event) == 0) {
-            return &kinds[i];
+    for (i = 0; i < event_rate_count; i++) {
+        if (strcmp(event_rates[i].event, event) == 0) {
+            return &event_rates[i];
         }
     }
-    if (kind_count < KINDS_MAX) {
-        kinds[kind_count].event = event;
-        return &kinds[kind_count++];
+    if (event_rate_count < EVENT_RATES_MAX) {
+        event_rates[event_rate_count].event = event;
+        return &event_rates[event_rate_count++];
     }
-    return &kinds[KINDS_MAX - 1];
+    return &event_rates[EVENT_RATES_MAX - 1];
 }
 
 static unsigned
-limit_of(const char *event)
+line_limit(const char *event)
 {
-    for (size_t i = 0; i < sizeof(samples) / sizeof(samples[0]); i++) {
-        if (strcmp(samples[i], event) == 0) {
-            return LIMIT_SAMPLE;
+    for (size_t i = 0; i < sizeof(sampled_events) / sizeof(sampled_events[0]);
+         i++) {
+        if (strcmp(sampled_events[i], event) == 0) {
+            return SAMPLED_LINES_PER_SECOND;
         }
     }
-    return LIMIT_USUAL;
+    return LINES_PER_SECOND;
 }
 
-/* False if the event has had its lines of this second. */
+/* False if the event reached its limit for this second.  *suppressed is set to
+ * the number suppressed before, if this is the first line of a new second. */
 static bool
-may_write(const char *event, unsigned *left_out)
+within_limit(const char *event, unsigned *suppressed)
 {
-    struct kind *k = kind_of(event);
+    struct event_rate *k = find_event_rate(event);
     time_t now = time(NULL);
 
     if (k->second != now) {
-        *left_out = k->left_out;
+        *suppressed = k->suppressed;
         k->second = now;
-        k->taken = 0;
-        k->left_out = 0;
+        k->written = 0;
+        k->suppressed = 0;
     }
-    if (k->taken >= limit_of(event)) {
-        k->left_out++;
+    if (k->written >= line_limit(event)) {
+        k->suppressed++;
         return false;
     }
-    k->taken++;
+    k->written++;
     return true;
 }
 
 void
 log_event(enum log_level level, const char *event, const char *fmt, ...)
 {
-    char text[LINE_MAX_LEN];
-    unsigned left_out = 0;
+    char text[LINE_MAX_BYTES];
+    unsigned suppressed = 0;
     va_list ap;
     int n;
 
@@ -321,12 +328,12 @@
         !log4c_category_is_priority_enabled(category, priorities[level])) {
         return;
     }
-    if (!may_write(event, &left_out)) {
+    if (!within_limit(event, &suppressed)) {
         return;
     }
-    if (left_out > 0) {
+    if (suppressed > 0) {
         log4c_category_log(category, priorities[level],
-            "event=left_out of=%s count=%u", event, left_out);
+            "event=left_out of=%s count=%u", event, suppressed);
     }
     n = snprintf(text, sizeof(text), "event=%s ", event);
     va_start(ap, fmt);
--- a/log.h
+++ b/log.h
@@ -1,11 +1,12 @@
 /*
  * log - structured log lines through log4c
  *
- * A line is `time=... level=... event=NAME key=value ...`.  It goes to a
- * file, to standard error, or by log_flush() to standard output, which never
- * blocks: what a reader does not take is left out and counted.  Each event
- * has a limit a second; how much was left out is told the second after.  The
- * last lines are remembered, for whoever asks the process what it did.
+ * A line is `time=... level=... event=NAME key=value ...`.  It is written to
+ * a file, to standard error, or by log_flush() to standard output, which never
+ * blocks: lines that do not fit the buffer are dropped and counted.  Each
+ * event has a limit of lines per second; a later line of the same event is
+ * preceded by event=left_out with the number suppressed.  The most recent
+ * lines are kept in memory for log_recent().
  */
 #ifndef LOG_H
 #define LOG_H
@@ -16,6 +17,7 @@
 extern "C" {
 #endif
 
+/* Size of the memory for recent lines. */
 #define LOG_RECENT_MAX_BYTES 262144U
 
 enum log_level {
@@ -27,22 +29,25 @@
 
 enum log_status { LOG_OK, LOG_BAD_FILE, LOG_BAD_LIBRARY };
 
-/* file "" means standard error, "-" standard output. */
+/* file is a path; "" means standard error, "-" standard output.  Lines less
+ * severe than level are not logged.  On an error e describes it. */
 enum log_status log_open(
     const char *file, enum log_level level, struct err *e);
-/* Open the file anew, as after a rotation, and set the level. */
+/* Reopen the file, as after a rotation, and set the level.  If the file cannot
+ * be opened, the old one stays in use. */
 enum log_status log_reopen(enum log_level level, struct err *e);
 void log_close(void);
-/* Write what the reader of standard output takes, without waiting. */
+/* Write buffered lines to standard output as far as it does not block. */
 void log_flush(void);
-/* Call fn for each line that is still remembered and has field, as in
- * "job=5c0e", oldest first.  What went to the log is remembered while
- * LOG_RECENT_MAX_BYTES bytes hold it. */
+/* Call fn, oldest line first, for each recent line that contains field as a
+ * whole word, as in "job=5c0e".  The newest logged lines are kept, up to
+ * LOG_RECENT_MAX_BYTES in total. */
 void log_recent(
     const char *field, void (*fn)(void *ctx, const char *text), void *ctx);
-/* Lines that were left out because the reader took none. */
+/* Lines dropped because standard output was not read. */
 unsigned long log_lines_lost(void);
-/* fmt gives the fields, as in "id=%s ms=%u". */
+/* Log one line.  event must stay valid for the life of the process.  fmt is
+ * the fields, as in "id=%s ms=%u". */
 void log_event(enum log_level level, const char *event, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 
--- a/test/log-test.cc
+++ b/test/log-test.cc
@@ -1,4 +1,4 @@
-/* Lines on standard output, and histograms. */
+/* Log lines on standard output, recent log lines, and histograms. */
 #include <gtest/gtest.h>
 
 #include <fcntl.h>
@@ -11,19 +11,19 @@
 
 namespace {
 
-/* Standard output is a pipe for as long as this lives. */
-struct Piped {
+/* Redirects standard output to a pipe during its lifetime. */
+struct PipedStdout {
     int ends[2];
     int saved;
 
-    Piped()
+    PipedStdout()
     {
         fflush(stdout);
         saved = dup(STDOUT_FILENO);
         EXPECT_EQ(pipe(ends), 0);
         dup2(ends[1], STDOUT_FILENO);
     }
-    ~Piped()
+    ~PipedStdout()
     {
         dup2(saved, STDOUT_FILENO);
         close(ends[0]);
@@ -40,7 +40,7 @@
     }
 };
 
-/* The library behind the log starts once a process. */
+/* log4c can be initialised only once per process. */
 class Log : public testing::Test {
   protected:
     static void
@@ -56,11 +56,11 @@
         drain();
         log_close();
     }
-    /* Throw away what is still to be written. */
+    /* Discard buffered lines. */
     static void
     drain()
     {
-        Piped p;
+        PipedStdout p;
 
         fcntl(p.ends[0], F_SETFL, O_NONBLOCK);
         for (int i = 0; i < 4; i++) {
@@ -72,11 +72,11 @@
 
 } // namespace
 
-/* A process stands still, and its callers with it: whoever reads its log
- * stopped reading.  Lines are lost and counted instead. */
-TEST_F(Log, AReaderThatStopsReadingCostsLinesOnly)
+/* The reader of the log stops reading.  The process must not block, as its
+ * callers would wait too; lines are lost and counted instead. */
+TEST_F(Log, AStalledReaderLosesLinesAndDoesNotBlock)
 {
-    static std::vector<std::string> events; /* the log keeps the names */
+    static std::vector<std::string> events; /* the log keeps pointers */
     std::string filler(900, 'x');
     unsigned long lost;
     std::string text;
@@ -85,7 +85,7 @@
         events.push_back("event_" + std::to_string(i));
     }
     {
-        Piped p;
+        PipedStdout p;
 
         for (auto &name : events) {
             for (int k = 0; k < 50; k++) {
@@ -101,16 +101,17 @@
     EXPECT_NE(text.find("event=event_0 job=1"), std::string::npos);
 }
 
-/* Under load one event fills the log and costs the processor time of callers;
- * beyond its limit a second it is counted, and the count is told. */
-TEST_F(Log, EachEventHasALimitASecond)
+/* Under load one event could fill the log and use up processor time.  Lines
+ * beyond the limit per second are suppressed and counted, and other events are
+ * not affected. */
+TEST_F(Log, EachEventHasALimitPerSecond)
 {
     std::string text;
     size_t lines = 0;
 
     drain();
     {
-        Piped p;
+        PipedStdout p;
 
         for (int k = 0; k < 1000; k++) {
             log_event(LOG_LEVEL_INFO, "one_event", "n=%d", k);
@@ -123,12 +124,12 @@
          at = text.find("event=one_event", at + 1)) {
         lines++;
     }
-    EXPECT_LE(lines, 100u); /* the second may change once meanwhile */
+    EXPECT_LE(lines, 100u); /* may span two seconds */
     EXPECT_GE(lines, 50u);
     EXPECT_NE(text.find("event=another_event"), std::string::npos);
 }
 
-TEST(Hist, WhatIsReadBackIsOffByAnEighthAtMost)
+TEST(Hist, QuantilesAreAtMostAnEighthTooHigh)
 {
     for (uint64_t ms = 0; ms < 900000; ms += 1 + ms / 50) {
         hist h = {};
@@ -151,23 +152,23 @@
     EXPECT_EQ(h.count, 1000u);
 }
 
-/* A complaint comes while the processes still run: each tells what it
- * remembers of the job, but nothing of one whose id only begins alike, and
- * the newest lines when there were more than it holds. */
-TEST_F(Log, RecentLinesOfAJobAreRemembered)
+/* An operator queries a running process for a job's log lines: those of a job
+ * whose id only has the same prefix must not match, and once the buffer is
+ * full the newest lines are kept. */
+TEST_F(Log, RecentLinesOfAJobAreKept)
 {
-    Piped p;
-    std::vector<std::string> seen;
+    PipedStdout p;
+    std::vector<std::string> found;
     auto collect = [](void *ctx, const char *text) {
         static_cast<std::vector<std::string> *>(ctx)->push_back(text);
     };
 
     log_event(LOG_LEVEL_WARN, "remembered", "job=5c0e why=first");
     log_event(LOG_LEVEL_WARN, "remembered", "job=5c0e17 why=longer");
-    log_recent("job=5c0e", collect, &seen);
-    ASSERT_EQ(seen.size(), 1u);
-    EXPECT_NE(seen[0].find("why=first"), std::string::npos);
-    /* Each event has its own limit a second. */
+    log_recent("job=5c0e", collect, &found);
+    ASSERT_EQ(found.size(), 1u);
+    EXPECT_NE(found[0].find("why=first"), std::string::npos);
+    /* Several events, as each has its own limit per second. */
     std::string filler(900, 'x');
     std::vector<std::string> names;
     for (int i = 0; i < 20; i++) {
@@ -177,14 +178,14 @@
         log_event(LOG_LEVEL_WARN, names[i % 20].c_str(), "job=f%d text=%s", i,
             filler.c_str());
     }
-    seen.clear();
-    log_recent("job=5c0e", collect, &seen);
-    EXPECT_TRUE(seen.empty());
-    log_recent("job=f399", collect, &seen);
-    ASSERT_EQ(seen.size(), 1u);
-    seen.clear();
-    log_recent("job=f200", collect, &seen);
-    ASSERT_EQ(seen.size(), 1u);
-    EXPECT_EQ(seen[0].find("time="), 0u);
+    found.clear();
+    log_recent("job=5c0e", collect, &found);
+    EXPECT_TRUE(found.empty());
+    log_recent("job=f399", collect, &found);
+    ASSERT_EQ(found.size(), 1u);
+    found.clear();
+    log_recent("job=f200", collect, &found);
+    ASSERT_EQ(found.size(), 1u);
+    EXPECT_EQ(found[0].find("time="), 0u);
     drain();
 }
