--- a/hist.c
+++ b/hist.c
@@ -2,32 +2,35 @@
 
 #include <inttypes.h>
 
-#define SUB 8U /* buckets an octave */
+#define BUCKETS_PER_OCTAVE 8U
 
-/* Values below 8 have a bucket each. */
+/* Each value below 8 has its own bucket. */
 static uint32_t
 bucket_of(uint64_t ms)
 {
     uint32_t octave;
     uint32_t b;
 
-    if (ms < SUB) {
+    if (ms < BUCKETS_PER_OCTAVE) {
         return (uint32_t)ms;
     }
     octave = 63U - (uint32_t)__builtin_clzll(ms);
-    b = (octave - 2) * SUB + (uint32_t)((ms >> (octave - 3)) & (SUB - 1));
+    b = (octave - 2) * BUCKETS_PER_OCTAVE +
+        (uint32_t)((ms >> (octave - 3)) & (BUCKETS_PER_OCTAVE - 1));
     return b < HIST_BUCKETS ? b : HIST_BUCKETS - 1;
 }
 
 static uint64_t
 upper_bound(uint32_t bucket)
 {
-    uint32_t octave = bucket / SUB + 2;
+    uint32_t octave = bucket / BUCKETS_PER_OCTAVE + 2;
 
-    if (bucket < SUB) {
+    if (bucket < BUCKETS_PER_OCTAVE) {
         return bucket;
     }
-    return (((uint64_t)SUB + bucket % SUB + 1) << (octave - 3)) - 1;
+    return (((uint64_t)BUCKETS_PER_OCTAVE + bucket % BUCKETS_PER_OCTAVE + 1)
+               << (octave - 3)) -
+           1;
 }
 
 void
@@ -41,12 +44,12 @@
 uint64_t
 hist_quantile(const struct hist *h, uint32_t permille)
 {
-    uint64_t want = (h->count * permille + 999) / 1000;
-    uint64_t seen = 0;
+    uint64_t target = (h->count * permille + 999) / 1000;
+    uint64_t cumulative = 0;
 
     for (uint32_t i = 0; i < HIST_BUCKETS; i++) {
-        seen += h->buckets[i];
-        if (seen >= want && seen > 0) {
+        cumulative += h->buckets[i];
+        if (cumulative >= target && cumulative > 0) {
             return upper_bound(i);
         }
     }
--- a/hist.h
+++ b/hist.h
@@ -1,8 +1,9 @@
 /*
- * hist - a histogram of times in ms
+ * hist - histogram of durations in ms
  *
- * Buckets grow by an eighth: a value read back is off by 12.5 % at most.
- * Debian has no library for this; the product's counters are its own.
+ * Each octave has eight buckets, so a quantile is at most 12.5 % too high.
+ * Implemented here because Debian packages no library for it; the program
+ * formats its own metrics.
  */
 #ifndef HIST_H
 #define HIST_H
@@ -15,7 +16,8 @@
 extern "C" {
 #endif
 
-/* Up to 2^20 ms, some 17 minutes; longer ones count there. */
+/* Covers up to 2^20 ms, about 17 minutes; longer durations count in the last
+ * bucket. */
 #define HIST_BUCKETS 152U
 
 struct hist {
@@ -25,9 +27,10 @@
 };
 
 void hist_add(struct hist *h, uint64_t ms);
-/* The upper bound of the bucket that holds so many permille of all. */
+/* The upper bound in ms of the bucket that contains the given quantile; 0 if
+ * there are no values. */
 uint64_t hist_quantile(const struct hist *h, uint32_t permille);
-/* Lines NAME_count, NAME_sum_ms, NAME_ms{quantile="..."}. */
+/* Append the lines NAME_count, NAME_sum_ms and NAME_ms{quantile="..."}. */
 void hist_format(const struct hist *h, const char *name, struct buf *out);
 
 #ifdef __cplusplus
--- a/trail.c
+++ b/trail.c
@@ -9,19 +9,19 @@
 
 struct note {
     uint64_t wall_ms;
-    uint64_t hash;
+    uint64_t hash; /* of customer and key */
     char text[TEXT_MAX];
 };
 
 struct trail {
     struct note *notes;
     size_t max;
-    size_t next;
-    size_t count;
+    size_t next;  /* index of the next note */
+    size_t count; /* notes in use */
 };
 
 static uint64_t
-name_hash(struct str customer, struct str key)
+submission_hash(struct str customer, struct str key)
 {
     return str_hash(key, str_hash(customer, 0));
 }
@@ -50,7 +50,7 @@
     struct note *n = &t->notes[t->next];
 
     n->wall_ms = wall_ms;
-    n->hash = name_hash(customer, key);
+    n->hash = submission_hash(customer, key);
     str_copy(n->text, sizeof(n->text), text);
     t->next = (t->next + 1) % t->max;
     t->count += t->count < t->max;
@@ -60,7 +60,7 @@
 trail_format(const struct trail *t, struct str customer, struct str key,
     struct buf *out)
 {
-    uint64_t want = name_hash(customer, key);
+    uint64_t hash = submission_hash(customer, key);
     size_t first = (t->next + t->max - t->count) % t->max;
     json_t *list = json_array();
     char *text;
@@ -68,7 +68,7 @@
     for (size_t i = 0; i < t->count; i++) {
         const struct note *n = &t->notes[(first + i) % t->max];
 
-        if (n->hash == want) {
+        if (n->hash == hash) {
             json_array_append_new(
                 list, json_pack("{s:I, s:s}", "ms", (json_int_t)n->wall_ms,
                           "text", n->text));
