--- a/link.c
+++ b/link.c
@@ -17,6 +17,7 @@
 #include "proc.h"
 
 #define DATAGRAM_MAX_BYTES 1200U
+/* Limit of the send queue to one peer. */
 #define QUEUE_MAX_BYTES (16U << 20)
 /* A peer's clock value older than this is requested again before sending. */
 #define ECHO_AGE_MAX_MS 1000U
@@ -31,6 +32,7 @@
 #define IDLE_TIMEOUT_MS 60000U
 /* No new attempt is made for this long after a refused connection. */
 #define REFUSED_RETRY_MS 200U
+/* Interval of the checks for timeouts. */
 #define TICK_S 0.1
 
 /* CONN_HELLO: connected, the first HELLO has no reply yet. */
