--- a/httpc.h
+++ b/httpc.h
@@ -19,9 +19,9 @@
 
 enum httpc_status {
     HTTPC_OK,       /* a complete response, of any HTTP status */
-    HTTPC_NOT_SENT, /* nothing was sent: no connection, or before_send() */
+    HTTPC_NOT_SENT, /* no connection, or before_send() returned false */
     HTTPC_FAILED_AFTER_SEND, /* failed after sending: it may have arrived */
-    HTTPC_TIMEOUT            /* timed out after sending: the same */
+    HTTPC_TIMEOUT            /* after sending: it may have arrived */
 };
 
 /* The result of a call, valid only during done(). */
@@ -32,7 +32,7 @@
     const char *error; /* libcurl's message, for the log */
 };
 
-typedef void (*httpc_done_fn)(void *ctx, const struct httpc_result *done);
+typedef void (*httpc_done_fn)(void *ctx, const struct httpc_result *result);
 /* Called immediately before the request is written; false cancels it, with
  * the result HTTPC_NOT_SENT. */
 typedef bool (*httpc_before_send_fn)(void *ctx);
--- a/link.c
+++ b/link.c
@@ -493,9 +493,9 @@
     if (revents & EV_READ) {
         if (!read_all(p->fd, &p->in, &p->link->stats)) {
             close_conn(p);
-            /* If the process has died, its port refuses the connection.
-             * That proves the death, so that its partitions can be taken
-             * over without waiting for a timeout. */
+            /* If the process has died, its port refuses the connection.  This
+             * proves it dead, so that its partitions can be taken over without
+             * waiting for a timeout. */
             connect_peer(p, now);
             return;
         }
