--- a/entryd.c
+++ b/entryd.c
@@ -46,7 +46,7 @@
     /* Before that, callers that reconnect would be sent here again. */
     if (lg_is_out_of_rotation(&e->lag) &&
         ++e->failed_checks == CHECKS_TO_DEREGISTER) {
-        web_send_elsewhere(e->callers, true);
+        web_set_close_after_reply(e->callers, true);
     }
     ec_reply(r, is_ready(e) ? 200 : 503, "{}");
 }
@@ -62,7 +62,7 @@
 
 static int
 open_web(struct entry *e, struct web **out, const char *endpoint,
-    web_handle_fn handle, web_gone_fn on_gone, struct err *err)
+    web_handle_fn handle, web_disconnect_fn on_gone, struct err *err)
 {
     struct conf_endpoint at;
     struct web_cfg cfg = {at.addr, 0, CALLERS_MAX, BODY_MAX, IDLE_S};
@@ -174,7 +174,7 @@
     }
     e->logged_overloaded = out;
     e->failed_checks = 0;
-    web_send_elsewhere(e->callers, false);
+    web_set_close_after_reply(e->callers, false);
     log_event(out ? LOG_LEVEL_WARN : LOG_LEVEL_INFO,
         out ? "behind" : "caught_up",
         "busy=%.2f item_us=%.1f usual_us=%.1f waiting=%zu", e->lag.utilization,
