--- a/Makefile
+++ b/Makefile
@@ -26,7 +26,7 @@
 CLI_O = $(COMMON_O) $(B)/explain.o $(B)/dunlinweir.o
 LOAD_O = $(COMMON_O) $(B)/log.o $(B)/httpc.o $(B)/dwload.o $(B)/dwtrace.o \
 	$(B)/dwfleet.o $(B)/dwreport.o
-SIM_PARTS = $(B)/sim.o $(B)/simentry.o $(B)/simwork.o $(B)/simcall.o $(B)/simdraw.o
+SIM_PARTS = $(B)/sim.o $(B)/simentry.o $(B)/simworker.o $(B)/simcaller.o $(B)/simdraw.o
 SIM_O = $(COMMON_O) $(SIM_PARTS)
 PROGRAMS = $(B)/dunlinweird $(B)/dunlinweir $(B)/dwload $(B)/dwsim
 STANDINS = $(B)/fake-store $(B)/fake-backend $(B)/soak
--- a/dwsim.c
+++ b/dwsim.c
@@ -1,4 +1,4 @@
-/* dwsim: decisions under load, on many drawn deployments. */
+/* dwsim: simulates many drawn deployments and compares their results. */
 #include <errno.h>
 #include <math.h>
 #include <popt.h>
@@ -15,38 +15,39 @@
 #include "num.h"
 #include "sim.h"
 
-#define JOBS_MAX 64
+#define PROCESSES_MAX 64
 #define DAYS_MAX 100000
 #define PATH_CAP 512
 #define CSV_HEAD                                                              \
     "seed,worth,in_time,late,refused,lost,held_in_vain,refused_at_once,"      \
     "runs,bounced,moved,messages,run_error,broken,given,sessions_lost,"       \
     "longest_pass_us"
-#define CSV_NUMBERS 17
+#define CSV_COLUMNS 17
 
+/* The contents of an experiment file. */
 struct experiment {
     struct sim_ranges ranges;
     uint64_t days;
     uint64_t seed;
 };
 
-/* One day, as kept for the tables. */
+/* Result of one day, as kept for the tables.  Shares are of all requests. */
 struct day {
     uint64_t seed;
-    double worth;
-    double in_time; /* of the requests that were asked */
+    double score;   /* column "worth" */
+    double in_time; /* share; likewise the next three */
     double late;
     double refused;
     double lost;
-    uint64_t held_in_vain;
-    uint64_t refused_at_once;
+    uint64_t refused_late;
+    uint64_t refused_early;
     uint64_t runs;
-    uint64_t bounced;
+    uint64_t rejected_full;
     uint64_t moved;
     uint64_t messages;
-    double run_error;
-    uint64_t broken;
-    uint64_t given;
+    double estimate_error;
+    uint64_t violations;
+    uint64_t forwarded;
     uint64_t sessions_lost;
     uint64_t longest_pass_us;
 };
@@ -55,97 +56,106 @@
 
 enum key_kind { KEY_U32, KEY_U64, KEY_REAL, KEY_BOOL };
 
+/* A key of experiment files. */
 struct key {
     const char *name;
-    size_t offset;
+    size_t offset; /* in struct experiment */
     enum key_kind kind;
-    double least;
-    double most;
+    double min;
+    double max;
 };
 
-#define RANGE(field) offsetof(struct experiment, ranges.field)
+#define RANGES_OFFSET(field) offsetof(struct experiment, ranges.field)
 
 static const struct key keys[] = {
     {"days", offsetof(struct experiment, days), KEY_U64, 1, DAYS_MAX},
     {"seed", offsetof(struct experiment, seed), KEY_U64, 0, 1e9},
-    {"length_ms", RANGE(length_ms), KEY_U32, 14000, 600000},
-    {"machines.workers_min", RANGE(workers_min), KEY_U32, 1, SIM_WORKERS_MAX},
-    {"machines.workers_max", RANGE(workers_max), KEY_U32, 1, SIM_WORKERS_MAX},
-    {"machines.domains_max", RANGE(domains_max), KEY_U32, 2, SIM_DOMAINS_MAX},
-    {"machines.entries_min", RANGE(entries_min), KEY_U32, 1, 12},
-    {"machines.entries_max", RANGE(entries_max), KEY_U32, 1, 12},
-    {"machines.cores_least", RANGE(cpu_min), KEY_REAL, 0.001, 64},
-    {"machines.cores_most", RANGE(cpu_max), KEY_REAL, 0.001, 64},
-    {"ways.entries_keep", RANGE(keep), KEY_BOOL, 0, 1},
-    {"ways.entries_stay", RANGE(stay), KEY_BOOL, 0, 1},
-    {"load.least", RANGE(load_min), KEY_REAL, 0.01, 3},
-    {"load.most", RANGE(load_max), KEY_REAL, 0.01, 3},
-    {"load.burst_most", RANGE(burst_max), KEY_REAL, 1.2, 10},
-    {"load.requests_most", RANGE(per_s_max), KEY_REAL, 1, 10000},
-    {"load.task_millicores_least", RANGE(task_millicores_min), KEY_U32, 1,
-        16000},
-    {"load.task_millicores_most", RANGE(task_millicores_max), KEY_U32, 1,
-        16000},
-    {"goal.whole", RANGE(goal.whole), KEY_REAL, 0, 1},
-    {"goal.windows", RANGE(goal.windows), KEY_REAL, 0, 1},
-    {"goal.kind", RANGE(goal.kind), KEY_REAL, 0, 1},
-    {"goal.served_nines", RANGE(goal.served_nines), KEY_REAL, 0, 1},
-    {"troubles.least", RANGE(troubles_min), KEY_U32, 0, 5},
-    {"troubles.most", RANGE(troubles_max), KEY_U32, 0, 5},
-    {"patience.of_work", RANGE(patience[SIM_PATIENCE_OF_WORK]), KEY_BOOL, 0,
-        1},
-    {"patience.fixed", RANGE(patience[SIM_PATIENCE_FIXED]), KEY_BOOL, 0, 1},
-    {"patience.loose", RANGE(patience[SIM_PATIENCE_LOOSE]), KEY_BOOL, 0, 1},
+    {"length_ms", RANGES_OFFSET(length_ms), KEY_U32, 14000, 600000},
+    {"machines.workers_min", RANGES_OFFSET(workers_min), KEY_U32, 1,
+        SIM_WORKERS_MAX},
+    {"machines.workers_max", RANGES_OFFSET(workers_max), KEY_U32, 1,
+        SIM_WORKERS_MAX},
+    {"machines.domains_max", RANGES_OFFSET(domains_max), KEY_U32, 2,
+        SIM_DOMAINS_MAX},
+    {"machines.entries_min", RANGES_OFFSET(entries_min), KEY_U32, 1, 12},
+    {"machines.entries_max", RANGES_OFFSET(entries_max), KEY_U32, 1, 12},
+    {"machines.cores_least", RANGES_OFFSET(entry_cores_min), KEY_REAL, 0.001,
+        64},
+    {"machines.cores_most", RANGES_OFFSET(entry_cores_max), KEY_REAL, 0.001,
+        64},
+    {"ways.entries_keep", RANGES_OFFSET(no_forwarding), KEY_BOOL, 0, 1},
+    {"ways.entries_stay", RANGES_OFFSET(always_in_rotation), KEY_BOOL, 0, 1},
+    {"load.least", RANGES_OFFSET(load_min), KEY_REAL, 0.01, 3},
+    {"load.most", RANGES_OFFSET(load_max), KEY_REAL, 0.01, 3},
+    {"load.burst_most", RANGES_OFFSET(burst_factor_max), KEY_REAL, 1.2, 10},
+    {"load.requests_most", RANGES_OFFSET(requests_per_s_max), KEY_REAL, 1,
+        10000},
+    {"load.task_millicores_least", RANGES_OFFSET(task_millicores_min), KEY_U32,
+        1, 16000},
+    {"load.task_millicores_most", RANGES_OFFSET(task_millicores_max), KEY_U32,
+        1, 16000},
+    {"goal.whole", RANGES_OFFSET(weights.day), KEY_REAL, 0, 1},
+    {"goal.windows", RANGES_OFFSET(weights.windows), KEY_REAL, 0, 1},
+    {"goal.kind", RANGES_OFFSET(weights.kind), KEY_REAL, 0, 1},
+    {"goal.served_nines", RANGES_OFFSET(weights.served_nines), KEY_REAL, 0, 1},
+    {"troubles.least", RANGES_OFFSET(faults_min), KEY_U32, 0, 5},
+    {"troubles.most", RANGES_OFFSET(faults_max), KEY_U32, 0, 5},
+    {"patience.of_work", RANGES_OFFSET(patience_drawn[SIM_PATIENCE_OF_WORK]),
+        KEY_BOOL, 0, 1},
+    {"patience.fixed", RANGES_OFFSET(patience_drawn[SIM_PATIENCE_FIXED]),
+        KEY_BOOL, 0, 1},
+    {"patience.loose", RANGES_OFFSET(patience_drawn[SIM_PATIENCE_LOOSE]),
+        KEY_BOOL, 0, 1},
 };
 
 #define KEY_COUNT (sizeof(keys) / sizeof(keys[0]))
-#define TROUBLE_PREFIX "trouble."
+#define FAULT_PREFIX "trouble."
 
 static enum conf_status
-bad(const struct toml_value *v, struct err *e, const char *want)
+bad_value(const struct toml_value *v, struct err *e, const char *expected)
 {
-    err_set(e, "line %u: key '%s': want %s", v->line, v->key, want);
+    err_set(e, "line %u: key '%s': want %s", v->line, v->key, expected);
     return CONF_BAD_VALUE;
 }
 
 static enum conf_status
-set_trouble(struct experiment *x, const struct toml_value *v, struct err *e)
+set_fault(struct experiment *x, const struct toml_value *v, struct err *e)
 {
-    const char *name = v->key + sizeof(TROUBLE_PREFIX) - 1;
+    const char *name = v->key + sizeof(FAULT_PREFIX) - 1;
 
-    for (size_t i = 0; i < SIM_TROUBLE_KINDS; i++) {
-        if (strcmp(sim_trouble_names[i], name) != 0) {
+    for (size_t i = 0; i < SIM_FAULT_KINDS; i++) {
+        if (strcmp(sim_fault_names[i], name) != 0) {
             continue;
         }
         if (v->kind != TOML_TEXT ||
             (strcmp(v->text, "always") != 0 && strcmp(v->text, "drawn") != 0 &&
                 strcmp(v->text, "never") != 0)) {
-            return bad(v, e, "\"always\", \"drawn\" or \"never\"");
+            return bad_value(v, e, "\"always\", \"drawn\" or \"never\"");
         }
-        x->ranges.every[i] = strcmp(v->text, "always") == 0;
-        x->ranges.trouble[i] = strcmp(v->text, "drawn") == 0;
+        x->ranges.fault_always[i] = strcmp(v->text, "always") == 0;
+        x->ranges.fault_drawn[i] = strcmp(v->text, "drawn") == 0;
         return CONF_OK;
     }
-    return bad(v, e, "a kind of trouble; see dwsim(1)");
+    return bad_value(v, e, "a kind of trouble; see dwsim(1)");
 }
 
 static void
 set_key(struct experiment *x, const struct key *k, double value)
 {
-    char *at = (char *)x + k->offset;
+    char *field = (char *)x + k->offset;
 
     switch (k->kind) {
     case KEY_U32:
-        *(uint32_t *)at = (uint32_t)value;
+        *(uint32_t *)field = (uint32_t)value;
         break;
     case KEY_U64:
-        *(uint64_t *)at = (uint64_t)value;
+        *(uint64_t *)field = (uint64_t)value;
         break;
     case KEY_REAL:
-        *(double *)at = value;
+        *(double *)field = value;
         break;
     case KEY_BOOL:
-        *(bool *)at = value != 0;
+        *(bool *)field = value != 0;
         break;
     }
 }
@@ -163,16 +173,16 @@
 static enum conf_status
 set_value(void *ctx, const struct toml_value *v, struct err *e)
 {
-    static const char *const wants[] = {[KEY_U32] = "a whole number",
+    static const char *const expected[] = {[KEY_U32] = "a whole number",
         [KEY_U64] = "a whole number",
         [KEY_REAL] = "a number",
         [KEY_BOOL] = "true or false"};
     struct experiment *x = ctx;
     double value = v->kind == TOML_REAL ? v->real : (double)v->number;
-    char want[120];
+    char expected_range[120];
 
-    if (strncmp(v->key, TROUBLE_PREFIX, sizeof(TROUBLE_PREFIX) - 1) == 0) {
-        return set_trouble(x, v, e);
+    if (strncmp(v->key, FAULT_PREFIX, sizeof(FAULT_PREFIX) - 1) == 0) {
+        return set_fault(x, v, e);
     }
     for (size_t i = 0; i < KEY_COUNT; i++) {
         const struct key *k = &keys[i];
@@ -181,21 +191,21 @@
             continue;
         }
         if (!has_kind(k, v)) {
-            return bad(v, e, wants[k->kind]);
+            return bad_value(v, e, expected[k->kind]);
         }
-        if (value < k->least || value > k->most) {
-            snprintf(want, sizeof(want), "%s from %g to %g", wants[k->kind],
-                k->least, k->most);
-            return bad(v, e, want);
+        if (value < k->min || value > k->max) {
+            snprintf(expected_range, sizeof(expected_range),
+                "%s from %g to %g", expected[k->kind], k->min, k->max);
+            return bad_value(v, e, expected_range);
         }
         set_key(x, k, value);
         return CONF_OK;
     }
-    return bad(v, e, "a known key; see dwsim(1)");
+    return bad_value(v, e, "a known key; see dwsim(1)");
 }
 
 static bool
-any(const bool *list, size_t n)
+any_set(const bool *list, size_t n)
 {
     for (size_t i = 0; i < n; i++) {
         if (list[i]) {
@@ -205,13 +215,13 @@
     return false;
 }
 
-/* A pair of keys of which the first may not be above the second. */
-struct pair {
-    const char *least;
-    const char *most;
+/* Two keys, of which the first must not be above the second. */
+struct bounds {
+    const char *min;
+    const char *max;
 };
 
-static const struct pair pairs[] = {
+static const struct bounds bounds_keys[] = {
     {"machines.workers_min", "machines.workers_max"},
     {"machines.entries_min", "machines.entries_max"},
     {"machines.cores_least", "machines.cores_most"},
@@ -224,33 +234,34 @@
 value_of(const struct experiment *x, const char *name)
 {
     for (size_t i = 0; i < KEY_COUNT; i++) {
-        const char *at = (const char *)x + keys[i].offset;
+        const char *field = (const char *)x + keys[i].offset;
 
         if (strcmp(keys[i].name, name) == 0) {
-            return keys[i].kind == KEY_U32 ? *(const uint32_t *)at
-                                           : *(const double *)at;
+            return keys[i].kind == KEY_U32 ? *(const uint32_t *)field
+                                           : *(const double *)field;
         }
     }
     return 0;
 }
 
 static bool
-check(const struct experiment *x, const char *path, struct err *e)
+check_experiment(const struct experiment *x, const char *path, struct err *e)
 {
     const struct sim_ranges *r = &x->ranges;
 
-    for (size_t i = 0; i < sizeof(pairs) / sizeof(pairs[0]); i++) {
-        if (value_of(x, pairs[i].least) > value_of(x, pairs[i].most)) {
-            err_set(
-                e, "%s: %s is above %s", path, pairs[i].least, pairs[i].most);
+    for (size_t i = 0; i < sizeof(bounds_keys) / sizeof(bounds_keys[0]); i++) {
+        if (value_of(x, bounds_keys[i].min) >
+            value_of(x, bounds_keys[i].max)) {
+            err_set(e, "%s: %s is above %s", path, bounds_keys[i].min,
+                bounds_keys[i].max);
             return false;
         }
     }
-    if (!any(r->patience, SIM_PATIENCE_COUNT)) {
+    if (!any_set(r->patience_drawn, SIM_PATIENCE_COUNT)) {
         err_set(e, "%s: [patience]: want one of them true", path);
         return false;
     }
-    if (r->troubles_max > 0 && !any(r->trouble, SIM_TROUBLE_KINDS)) {
+    if (r->faults_max > 0 && !any_set(r->fault_drawn, SIM_FAULT_KINDS)) {
         err_set(e,
             "%s: [trouble]: want one of them \"drawn\", or "
             "troubles.most = 0",
@@ -271,40 +282,40 @@
         err_prefix(e, "%s", path);
         return false;
     }
-    return check(x, path, e);
+    return check_experiment(x, path, e);
 }
 
 /* --- days --- */
 
 static struct day
-day_of(uint64_t seed, const struct sim_result *r)
+day_from_result(uint64_t seed, const struct sim_result *r)
 {
-    double asked = (double)num_max(r->whole.asked, 1);
+    double requests = (double)num_max(r->total.requests, 1);
     struct day d = {.seed = seed,
-        .worth = r->worth,
-        .in_time = (double)r->whole.in_time / asked,
-        .late = (double)r->whole.late / asked,
-        .refused = (double)r->whole.refused / asked,
-        .lost = (double)r->whole.lost / asked,
-        .held_in_vain = r->held_in_vain,
-        .refused_at_once = r->refused_at_once,
+        .score = r->score,
+        .in_time = (double)r->total.in_time / requests,
+        .late = (double)r->total.late / requests,
+        .refused = (double)r->total.refused / requests,
+        .lost = (double)r->total.lost / requests,
+        .refused_late = r->refused_late,
+        .refused_early = r->refused_early,
         .runs = r->runs,
-        .bounced = r->bounced,
+        .rejected_full = r->rejected_full,
         .moved = r->moved,
         .messages = r->messages,
-        .run_error = r->run_error,
-        .given = r->given,
+        .estimate_error = r->estimate_error,
+        .forwarded = r->forwarded,
         .sessions_lost = r->sessions_lost,
         .longest_pass_us = r->longest_pass_us};
 
-    for (size_t i = 0; i < r->broken.n; i++) {
-        d.broken += r->broken.p[i] == '\n';
+    for (size_t i = 0; i < r->violations.n; i++) {
+        d.violations += r->violations.p[i] == '\n';
     }
     return d;
 }
 
 static void
-play_some(const struct experiment *x, uint64_t first, uint64_t step, FILE *out)
+run_days(const struct experiment *x, uint64_t first, uint64_t step, FILE *out)
 {
     for (uint64_t i = first; i < x->days; i += step) {
         struct sim_deployment *d = dw_zero(1, sizeof(*d));
@@ -312,11 +323,11 @@
         struct day day;
 
         sim_draw(d, x->seed + i, &x->ranges);
-        sim_play(d, &r);
-        day = day_of(d->seed, &r);
-        if (day.broken > 0) {
+        sim_run_day(d, &r);
+        day = day_from_result(d->seed, &r);
+        if (day.violations > 0) {
             fprintf(stderr, "seed %llu:\n%s", (unsigned long long)d->seed,
-                r.broken.p);
+                r.violations.p);
         }
         fwrite(&day, sizeof(day), 1, out);
         sim_result_free(&r);
@@ -325,44 +336,45 @@
     fflush(out);
 }
 
-/* Play all days, so many at a time; false if a process could not. */
+/* Simulates all days in so many processes; false if one of them failed. */
 static bool
-play_all(const struct experiment *x, int jobs, struct day *days)
+run_all_days(const struct experiment *x, int processes, struct day *days)
 {
-    FILE *parts[JOBS_MAX] = {NULL};
-    pid_t children[JOBS_MAX] = {0};
+    FILE *outputs[PROCESSES_MAX] = {NULL};
+    pid_t children[PROCESSES_MAX] = {0};
     bool ok = true;
 
-    for (int k = 0; k < jobs; k++) {
-        parts[k] = tmpfile();
-        children[k] = parts[k] != NULL ? fork() : -1;
+    for (int k = 0; k < processes; k++) {
+        outputs[k] = tmpfile();
+        children[k] = outputs[k] != NULL ? fork() : -1;
         if (children[k] == 0) {
-            play_some(x, (uint64_t)k, (uint64_t)jobs, parts[k]);
+            run_days(x, (uint64_t)k, (uint64_t)processes, outputs[k]);
             _exit(0);
         }
         ok &= children[k] > 0;
     }
-    for (int k = 0; k < jobs; k++) {
+    for (int k = 0; k < processes; k++) {
         struct day day;
         int status;
 
         if (children[k] > 0) {
             ok &= waitpid(children[k], &status, 0) > 0 && status == 0;
         }
-        if (parts[k] == NULL) {
+        if (outputs[k] == NULL) {
             continue;
         }
-        rewind(parts[k]);
-        while (fread(&day, sizeof(day), 1, parts[k]) == 1) {
+        rewind(outputs[k]);
+        while (fread(&day, sizeof(day), 1, outputs[k]) == 1) {
             days[day.seed - x->seed] = day;
         }
-        fclose(parts[k]);
+        fclose(outputs[k]);
     }
     return ok;
 }
 
 /* --- tables --- */
 
+/* Sums for a mean and its standard error. */
 struct mean {
     double n;
     double sum;
@@ -401,13 +413,14 @@
         fprintf(out,
             "%llu,%.6f,%.6f,%.6f,%.6f,%.6f,%llu,%llu,%llu,%llu,%llu,%llu,"
             "%.6f,%llu,%llu,%llu,%llu\n",
-            (unsigned long long)d[i].seed, d[i].worth, d[i].in_time, d[i].late,
-            d[i].refused, d[i].lost, (unsigned long long)d[i].held_in_vain,
-            (unsigned long long)d[i].refused_at_once,
-            (unsigned long long)d[i].runs, (unsigned long long)d[i].bounced,
+            (unsigned long long)d[i].seed, d[i].score, d[i].in_time, d[i].late,
+            d[i].refused, d[i].lost, (unsigned long long)d[i].refused_late,
+            (unsigned long long)d[i].refused_early,
+            (unsigned long long)d[i].runs,
+            (unsigned long long)d[i].rejected_full,
             (unsigned long long)d[i].moved, (unsigned long long)d[i].messages,
-            d[i].run_error, (unsigned long long)d[i].broken,
-            (unsigned long long)d[i].given,
+            d[i].estimate_error, (unsigned long long)d[i].violations,
+            (unsigned long long)d[i].forwarded,
             (unsigned long long)d[i].sessions_lost,
             (unsigned long long)d[i].longest_pass_us);
     }
@@ -434,7 +447,9 @@
         line[strcspn(line, "\n")] = '\0';
         if (number == 1) {
             if (strcmp(line, CSV_HEAD) != 0) {
-                err_set(e, "%s:1: not a table of dwsim's days", path);
+                err_set(e,
+                    "%s:1: the header is not that of a days.csv of this dwsim",
+                    path);
                 goto out;
             }
             continue;
@@ -442,11 +457,12 @@
         if (sscanf(line,
                 "%lu,%lf,%lf,%lf,%lf,%lf,%lu,%lu,%lu,%lu,%lu,%lu,%lf,%lu,%lu,"
                 "%lu,%lu",
-                &d.seed, &d.worth, &d.in_time, &d.late, &d.refused, &d.lost,
-                &d.held_in_vain, &d.refused_at_once, &d.runs, &d.bounced,
-                &d.moved, &d.messages, &d.run_error, &d.broken, &d.given,
-                &d.sessions_lost, &d.longest_pass_us) != CSV_NUMBERS) {
-            err_set(e, "%s:%zu: want %d numbers", path, number, CSV_NUMBERS);
+                &d.seed, &d.score, &d.in_time, &d.late, &d.refused, &d.lost,
+                &d.refused_late, &d.refused_early, &d.runs, &d.rejected_full,
+                &d.moved, &d.messages, &d.estimate_error, &d.violations,
+                &d.forwarded, &d.sessions_lost,
+                &d.longest_pass_us) != CSV_COLUMNS) {
+            err_set(e, "%s:%zu: want %d numbers", path, number, CSV_COLUMNS);
             goto out;
         }
         *out = dw_grow(*out, (*n + 1) * sizeof(**out));
@@ -458,15 +474,16 @@
     return ok;
 }
 
+/* A row of the printed tables: a value of each day. */
 struct column {
     const char *name;
     double (*of)(const struct day *d);
 };
 
 static double
-worth_of(const struct day *d)
+score_of(const struct day *d)
 {
-    return d->worth;
+    return d->score;
 }
 
 static double
@@ -494,17 +511,17 @@
 }
 
 static double
-held_of(const struct day *d)
+refused_late_of(const struct day *d)
 {
-    double all = (double)(d->held_in_vain + d->refused_at_once);
+    double all = (double)(d->refused_late + d->refused_early);
 
-    return all > 0 ? (double)d->held_in_vain / all : 0;
+    return all > 0 ? (double)d->refused_late / all : 0;
 }
 
 static double
-bounced_of(const struct day *d)
+rejected_full_of(const struct day *d)
 {
-    return (double)d->bounced / (double)num_max(d->runs, 1);
+    return (double)d->rejected_full / (double)num_max(d->runs, 1);
 }
 
 static double
@@ -520,15 +537,15 @@
 }
 
 static double
-run_error_of(const struct day *d)
+estimate_error_of(const struct day *d)
 {
-    return d->run_error;
+    return d->estimate_error;
 }
 
 static double
-given_of(const struct day *d)
+forwarded_of(const struct day *d)
 {
-    return (double)d->given;
+    return (double)d->forwarded;
 }
 
 static double
@@ -547,17 +564,17 @@
 columns_of(size_t *n)
 {
     static const struct column columns[] = {
-        {"worth", worth_of},
+        {"worth", score_of},
         {"in time", in_time_of},
         {"late", late_of},
         {"refused", refused_of},
         {"lost", lost_of},
-        {"held in vain, of refused", held_of},
-        {"sent back, of runs", bounced_of},
+        {"late, of refused", refused_late_of},
+        {"rejected full, of runs", rejected_full_of},
         {"moved, of runs", moved_of},
-        {"messages a run", messages_of},
-        {"error of run times, ln", run_error_of},
-        {"given to entries", given_of},
+        {"messages per run", messages_of},
+        {"error of run times, ln", estimate_error_of},
+        {"forwarded requests", forwarded_of},
         {"sessions lost", sessions_lost_of},
         {"longest pass, ms", longest_pass_of},
     };
@@ -585,7 +602,7 @@
     }
 }
 
-/* The same seeds, played by two builds or settings. */
+/* Compares the results of the same seeds under two builds or settings. */
 static int
 compare(const char *before_path, const char *after_path)
 {
@@ -639,34 +656,37 @@
 /* --- one day in full --- */
 
 static void
-print_sum(const char *name, size_t number, const struct sim_sum *s)
+print_sum(const char *name, size_t number, const struct sim_totals *s)
 {
     printf("%s %-6zu %7llu %7llu %6llu %7llu %6llu %7.3f\n", name, number,
-        (unsigned long long)s->asked, (unsigned long long)s->in_time,
+        (unsigned long long)s->requests, (unsigned long long)s->in_time,
         (unsigned long long)s->late, (unsigned long long)s->refused,
-        (unsigned long long)s->lost, s->owed > 0 ? s->earned / s->owed : 1.0);
+        (unsigned long long)s->lost,
+        s->value_offered > 0 ? s->value_earned / s->value_offered : 1.0);
 }
 
 static void
 print_deployment(const struct sim_deployment *d)
 {
     printf("seed %llu: %u domains, %u entries, %u workers, %.0f requests/s\n",
-        (unsigned long long)d->seed, d->domains, d->entries, d->workers,
-        d->per_s);
-    for (uint32_t i = 0; i < d->kinds; i++) {
+        (unsigned long long)d->seed, d->domain_count, d->entry_count,
+        d->worker_count, d->requests_per_s);
+    for (uint32_t i = 0; i < d->kind_count; i++) {
         const struct sim_kind *k = &d->kind[i];
 
         printf("kind %u: %.1f/s, %.1f tasks of %.0f ms on %.1f cores, "
                "objective %.1f times and %u ms, declared %.2f (%.2f)\n",
-            i, d->per_s * k->share, k->width, k->run_ms, k->millicores / 1e3,
-            k->stretch_milli / 1e3, k->slo_ms, k->declared, k->declared_sigma);
+            i, d->requests_per_s * k->share, k->tasks_mean, k->run_median_ms,
+            k->millicores / 1e3, k->stretch_milli / 1e3, k->slo_ms,
+            k->declared_ratio, k->declared_log_sigma);
     }
-    for (uint32_t i = 0; i < d->troubles; i++) {
-        const struct sim_trouble *t = &d->trouble[i];
+    for (uint32_t i = 0; i < d->fault_count; i++) {
+        const struct sim_fault *fault = &d->fault[i];
 
-        printf("trouble: %s from %.1f s for %.1f s, share %.2f, x %.1f%s\n",
-            sim_trouble_names[t->kind], t->at_ms / 1e3, t->for_ms / 1e3,
-            t->share, t->x, t->all ? ", all kinds" : "");
+        printf("fault: %s from %.1f s for %.1f s, share %.2f, factor %.1f%s\n",
+            sim_fault_names[fault->kind], fault->start_ms / 1e3,
+            fault->duration_ms / 1e3, fault->share, fault->factor,
+            fault->all_kinds ? ", all kinds" : "");
     }
 }
 
@@ -677,31 +697,31 @@
     struct sim_result r;
 
     sim_draw(d, seed, &x->ranges);
-    sim_play(d, &r);
+    sim_run_day(d, &r);
     print_deployment(d);
-    printf("worth %.4f, held in vain %llu, refused at once %llu, runs %llu, "
-           "sent back %llu\n",
-        r.worth, (unsigned long long)r.held_in_vain,
-        (unsigned long long)r.refused_at_once, (unsigned long long)r.runs,
-        (unsigned long long)r.bounced);
+    printf("worth %.4f, refused late %llu, refused early %llu, runs %llu, "
+           "rejected by full agents %llu\n",
+        r.score, (unsigned long long)r.refused_late,
+        (unsigned long long)r.refused_early, (unsigned long long)r.runs,
+        (unsigned long long)r.rejected_full);
     printf("%13s %7s %7s %6s %7s %6s %7s\n", "", "asked", "in time", "late",
         "refused", "lost", "worth");
-    for (size_t i = 0; i < r.windows; i++) {
+    for (size_t i = 0; i < r.window_count; i++) {
         print_sum("from s", i * SIM_WINDOW_MS / 1000, &r.window[i]);
     }
-    for (uint32_t k = 0; k < d->kinds; k++) {
+    for (uint32_t k = 0; k < d->kind_count; k++) {
         print_sum("kind  ", k, &r.kind[k]);
     }
-    fputs(r.broken.n > 0 ? r.broken.p : "", stdout);
+    fputs(r.violations.n > 0 ? r.violations.p : "", stdout);
     sim_result_free(&r);
     free(d);
     return 0;
 }
 
-/* --- reports --- */
+/* --- report files --- */
 
 static void
-make_folders(const char *dir)
+make_directories(const char *dir)
 {
     char path[PATH_CAP];
 
@@ -720,7 +740,7 @@
     char path[PATH_CAP];
     FILE *f;
 
-    make_folders(dir);
+    make_directories(dir);
     snprintf(path, sizeof(path), "%s/days.csv", dir);
     f = fopen(path, "w");
     if (f == NULL) {
@@ -739,37 +759,38 @@
         "set terminal svg size 900,500\nset output '%s/days.svg'\n"
         "set datafile separator ','\nset key autotitle columnhead\n"
         "set xlabel 'refused and lost'\nset ylabel 'worth'\n"
-        "plot '%s/days.csv' using ($5+$6):2 with points title 'a day each'\n",
+        "plot '%s/days.csv' using ($5+$6):2 with points title 'one point per "
+        "day'\n",
         dir, dir);
     fclose(f);
     return true;
 }
 
 static int
-experiment(const struct experiment *x, const char *dir, int jobs)
+run_experiment(const struct experiment *x, const char *dir, int processes)
 {
     struct day *days = dw_zero(x->days, sizeof(*days));
     struct timespec begin;
     struct timespec end;
     double seconds;
-    uint64_t broken = 0;
+    uint64_t violations = 0;
     int rc = 1;
 
     clock_gettime(CLOCK_MONOTONIC, &begin);
-    if (!play_all(x, jobs, days)) {
-        fprintf(stderr, "dwsim: not all days could be played\n");
+    if (!run_all_days(x, processes, days)) {
+        fprintf(stderr, "dwsim: some days were not simulated\n");
         goto out;
     }
     clock_gettime(CLOCK_MONOTONIC, &end);
     seconds = (double)(end.tv_sec - begin.tv_sec) +
               (double)(end.tv_nsec - begin.tv_nsec) / 1e9;
     print_table(days, x->days);
-    printf("%.0f days a minute\n", 60.0 * (double)x->days / seconds);
+    printf("%.0f days per minute\n", 60.0 * (double)x->days / seconds);
     for (uint64_t i = 0; i < x->days; i++) {
-        broken += days[i].broken;
+        violations += days[i].violations;
     }
-    printf("broken promises: %llu\n", (unsigned long long)broken);
-    rc = write_reports(dir, days, x->days) && broken == 0 ? 0 : 1;
+    printf("violated guarantees: %llu\n", (unsigned long long)violations);
+    rc = write_reports(dir, days, x->days) && violations == 0 ? 0 : 1;
 out:
     free(days);
     return rc;
@@ -785,15 +806,17 @@
     long long show = -1;
     int comparing = 0;
     struct poptOption options[] = {{"output", 'o', POPT_ARG_STRING, &dir, 0,
-                                       "folder of the reports", "DIR"},
-        {"jobs", 'j', POPT_ARG_INT, &jobs, 0, "days played at a time", "N"},
-        {"days", 'n', POPT_ARG_LONGLONG, &days, 0, "in place of the file's",
-            "N"},
+                                       "directory for the reports", "DIR"},
+        {"jobs", 'j', POPT_ARG_INT, &jobs, 0,
+            "number of days to simulate in parallel", "N"},
+        {"days", 'n', POPT_ARG_LONGLONG, &days, 0,
+            "number of days, overrides the file", "N"},
         {"seed", 's', POPT_ARG_LONGLONG, &seed, 0,
-            "of the first day, in place of the file's", "N"},
-        {"show", 0, POPT_ARG_LONGLONG, &show, 0, "one day in full", "SEED"},
+            "seed of the first day, overrides the file", "N"},
+        {"show", 0, POPT_ARG_LONGLONG, &show, 0,
+            "simulate one day and print it in full", "SEED"},
         {"compare", 0, POPT_ARG_NONE, &comparing, 0,
-            "two tables of days, seed by seed", NULL},
+            "compare two days.csv files, seed by seed", NULL},
         POPT_AUTOHELP POPT_TABLEEND};
     poptContext ctx = poptGetContext("dwsim", argc, argv, options, 0);
     struct experiment x;
@@ -813,7 +836,7 @@
     other = poptGetArg(ctx);
     rc = 2;
     if (path == NULL || (comparing != 0) != (other != NULL) || jobs < 1 ||
-        jobs > JOBS_MAX || days < 0 || days > DAYS_MAX) {
+        jobs > PROCESSES_MAX || days < 0 || days > DAYS_MAX) {
         poptPrintUsage(ctx, stderr, 0);
         goto out;
     }
@@ -828,7 +851,7 @@
     x.days = days > 0 ? (uint64_t)days : x.days;
     x.seed = seed >= 0 ? (uint64_t)seed : x.seed;
     rc = show >= 0 ? show_day(&x, (uint64_t)show)
-                   : experiment(&x, dir != NULL ? dir : "out/dwsim", jobs);
+                   : run_experiment(&x, dir != NULL ? dir : "out/dwsim", jobs);
 out:
     poptFreeContext(ctx);
     return rc;
--- a/sim-int.h
+++ b/sim-int.h
@@ -1,5 +1,5 @@
 /*
- * sim-int - what the parts of the simulation share
+ * sim-int - types and functions shared by the parts of the simulation
  */
 #ifndef SIM_INT_H
 #define SIM_INT_H
@@ -16,259 +16,284 @@
 
 struct sim;
 
+/* Handler of an event. */
 typedef void (*sim_fn)(struct sim *s, void *data);
 
-/* At equal times in the order of their making. */
+/* Events at the same time run in the order in which they were scheduled. */
 struct sim_event {
     uint64_t at_us;
-    uint64_t order;
+    uint64_t sequence; /* order of scheduling */
     sim_fn fn;
     void *data;
 };
 
+/* A run on a worker. */
 struct sim_run {
     struct rn_key key;
     uint32_t millicores;
-    double total_us; /* of work at speed 1 */
-    double left_us;
-    uint64_t seen_us; /* when left_us held */
-    uint64_t ends_us;
-    dw_end how;
+    double work_us; /* run time at speed 1 */
+    double work_left_us;
+    uint64_t updated_us; /* when work_left_us was computed */
+    uint64_t end_us;     /* planned */
+    dw_end outcome;      /* at that time */
     bool stopping;
 };
 
-/* The highest run of a task that was stopped or ended on a worker. */
-struct sim_past {
-    uint64_t task;
-    uint64_t run;
+/* What a worker remembers of a task whose runs ended or were stopped: it
+ * refuses starts of runs up to the highest. */
+struct sim_run_record {
+    uint64_t task; /* job id | task index */
+    uint64_t highest_run;
     UT_hash_handle hh;
 };
 
-/* A call of an agent to its worker, or its answer. */
+/* A call of an agent to its worker (start, stop or poll), and its answer. */
 struct sim_call {
     struct sim_agent *agent;
-    uint64_t agent_id;
+    uint64_t agent_id; /* process that sent the call; see sim_process_ref */
     struct rn_key key;
     struct rn_terms terms;
-    struct rn_ask ask;
+    struct rn_ask poll;
     uint32_t millicores;
     enum rn_start_result result;
-    uint64_t clock_ms;
-    uint64_t asked_ms;
-    bool lost;
-    bool answered;
-    uint32_t holders;
+    uint64_t clock_ms; /* of the worker, when it answered */
+    uint64_t sent_ms;
+    bool lost;     /* no answer reaches the agent */
+    bool answered; /* or given up by the agent */
+    uint32_t refs; /* freed at 0 */
     struct rn_shown *running;
     size_t running_count;
-    struct rn_end *ends;
-    size_t end_count;
-    uint64_t born_ms;
+    struct rn_end *outcomes;
+    size_t outcome_count;
+    uint64_t worker_started_ms;
 };
 
 struct sim_worker {
     uint32_t index;
     bool up;
-    uint64_t born_ms;
-    uint64_t until_ms; /* in its own clock */
-    uint64_t fence;
-    uint64_t next_end;
+    uint64_t started_ms;     /* identifies the incarnation */
+    uint64_t lease_until_ms; /* in the worker's clock */
+    uint64_t fence;          /* highest fencing number seen */
+    uint64_t next_outcome;   /* number of the next outcome */
     struct sim_run *runs;
     size_t run_count;
-    struct rn_end *ends;
-    size_t end_count;
-    struct sim_past *past;
-    struct sim_call *look; /* waits for an end */
-    double slow;           /* times as long */
-    double late;           /* share of orders carried out late */
-    bool fails;
+    struct rn_end *outcomes; /* not acknowledged by the agent yet */
+    size_t outcome_count;
+    struct sim_run_record *run_records;
+    struct sim_call *poll;   /* long poll that waits for an outcome */
+    double slowdown;         /* tasks take this many times as long */
+    double late_order_share; /* of orders, carried out seconds late */
+    bool fails_runs;
 };
 
 struct sim_agent {
     struct sim *s;
     uint32_t index;
-    uint64_t id; /* of the process; 0: none lives */
-    struct agent a;
+    uint64_t id; /* of the process; 0: not running */
+    struct agent agent;
 };
 
-/* Who waits for a job at an entry: a caller, or another entry. */
-struct sim_caller {
+/* Waits for the answer to a job at an entry: a caller, or the origin entry of
+ * a forwarded request. */
+struct sim_waiter {
     struct sim_job *job;
-    uint32_t try;
-    struct rl_taken *taken; /* NULL: a caller */
-    struct sim_caller *prev;
-    struct sim_caller *next;
+    uint32_t attempt;           /* of the caller; see sim_job */
+    struct rl_taken *forwarded; /* NULL: a caller */
+    struct sim_waiter *prev;
+    struct sim_waiter *next;
 };
 
-/* What waits to be read by an entry. */
+/* A message or request that an entry has not read yet. */
 struct sim_input {
     struct sim_input *next;
     uint64_t from;
-    dw_msg *msg;  /* NULL: a request */
-    uint64_t job; /* of that */
-    uint32_t try;
+    dw_msg *msg;      /* NULL: a request */
+    uint64_t job;     /* id, of a request */
+    uint32_t attempt; /* of a request */
 };
 
+/* An answer to a caller. */
 struct sim_answer {
     struct sim_answer *next;
     struct sim_job *job;
-    uint32_t try;
-    enum co_outcome how;
+    uint32_t attempt;
+    enum co_outcome outcome;
     uint32_t retry_ms;
 };
 
 struct sim_entry {
     struct sim *s;
     uint32_t index;
-    uint64_t id;
-    struct coord c;
+    uint64_t id; /* of the process; 0: not running */
+    struct coord coord;
     struct sim_answer *answers; /* newest first */
-    struct sim_caller *callers;
+    struct sim_waiter *waiters;
     struct relay relay;
-    /* With a processor. */
-    double slow; /* times */
+    /* Used only if processing takes time (sim_deployment.entry_cores). */
+    double slowdown; /* processing takes this many times as long */
     struct lag lag;
     struct intake intake;
     struct sim_input *inputs;
     struct sim_input **inputs_tail;
-    bool working;          /* a pass is due or under way */
-    uint64_t tick_us;      /* when it is due next */
-    double spent_us;       /* of this pass, so far */
-    uint32_t missed_looks; /* of the balancer */
+    bool pass_scheduled;    /* a pass of the event loop is due or under way */
+    uint64_t tick_us;       /* when the next tick is due */
+    double spent_us;        /* of this pass, so far */
+    uint32_t failed_checks; /* consecutive, of the balancer's health check */
 };
 
-enum sim_end {
-    SIM_OPEN,
-    SIM_SERVED,
-    SIM_REFUSED,
-    SIM_LOST,
-    SIM_LEFT /* by its own will: nothing is owed */
+enum sim_job_outcome {
+    SIM_PENDING,
+    SIM_SERVED,  /* completed, or failed if it always fails */
+    SIM_REFUSED, /* not run, and not retried */
+    SIM_LOST,    /* no answer before the deadline, or failed */
+    SIM_LEFT     /* the caller left early: no value is offered */
 };
 
+/* A caller's request and the job that it submits. */
 struct sim_job {
     uint64_t id;
     uint32_t kind;
-    uint32_t domain;
-    uint32_t count;
+    uint32_t domain; /* of the caller */
+    uint32_t task_count;
     uint32_t declared_ms;
-    uint32_t *task_us;
-    uint8_t *running; /* on workers, for each task */
-    uint64_t first_us;
-    uint64_t come_us; /* of the last try at its entry */
-    uint64_t leave_us;
+    uint32_t *task_us;   /* true run time of each task at speed 1 */
+    uint8_t *running;    /* runs on workers at present, for each task */
+    uint64_t sent_us;    /* first attempt */
+    uint64_t arrived_us; /* of the last attempt at its entry */
+    uint64_t leave_us;   /* when the caller leaves; at most deadline_us */
     uint64_t deadline_us;
-    uint64_t objective_us; /* length */
-    double worth;
-    uint32_t try;
-    bool open;                 /* the last try waits for its answer */
-    struct sim_caller *caller; /* at that entry, if it has read it */
-    uint64_t entry_id;
-    bool hopeless;
-    bool started;
-    enum sim_end end;
-    uint64_t end_us;
+    uint64_t objective_us; /* duration */
+    double value;
+    uint32_t attempt;          /* times that the caller has sent it */
+    bool awaiting_answer;      /* to the last attempt */
+    struct sim_waiter *waiter; /* at that entry, once it has read it */
+    uint64_t entry_id;         /* process that got the last attempt */
+    bool always_fails;
+    bool started; /* a task has been started */
+    enum sim_job_outcome outcome;
+    uint64_t ended_us;
     UT_hash_handle hh;
 };
 
 struct sim {
     const struct sim_deployment *d;
-    struct sim_result *out;
+    struct sim_result *result;
     gsl_rng *rng;
     uint64_t now_us;
-    bool over; /* nobody starts any more */
-    uint64_t order;
+    bool shutting_down;       /* processes are no longer restarted */
+    uint64_t next_sequence;   /* of events */
     struct sim_event *events; /* a binary heap */
     size_t event_count;
     size_t event_cap;
     struct sim_worker workers[SIM_WORKERS_MAX];
     struct sim_agent agents[SIM_WORKERS_MAX];
     struct sim_entry entries[SIM_ENTRIES_MAX];
-    uint64_t entered[SIM_WORKERS_MAX]; /* ids in the store, by agent */
-    struct buf times[SIM_ENTRIES_MAX]; /* there as well, by entry */
+    /* Contents of the store. */
+    uint64_t registered[SIM_WORKERS_MAX];        /* process ids, by agent */
+    struct buf saved_estimates[SIM_ENTRIES_MAX]; /* of run times, by entry */
     bool withdrawn[SIM_DOMAINS_MAX];
-    uint64_t next_life;
+    uint64_t next_process;
     struct sim_job *jobs;
     uint64_t next_job;
-    double rate_x[SIM_KINDS_MAX];
-    double width_x[SIM_KINDS_MAX];
+    /* Effects of the faults in force. */
+    double rate_factor[SIM_KINDS_MAX];
+    double width_factor[SIM_KINDS_MAX];
     double leave_share;
-    double hopeless_share;
-    double error_sum;
+    double failing_job_share;
+    double estimate_error_sum;
 };
 
+/* Interval between the ticks of entries, agents and workers. */
 #define SIM_TICK_US 20000U
+/* Set in the process ids of entries. */
 #define SIM_ENTRY_BIT 0x8000U
 
-/* What an event of a process is for; it may have died since. */
-struct sim_alive {
+/* Names the process that an event is for, as it may have died since. */
+struct sim_process_ref {
     uint64_t id;
 };
 
-/* Requests begin then; what is before is for the fleet to start. */
-#define SIM_LEAD_US 2000000U
+/* Time for the processes to start, before the first request. */
+#define SIM_WARMUP_US 2000000U
 #define SIM_SERVICE "s"
 
 static inline uint64_t
-sim_ms(const struct sim *s)
+sim_now_ms(const struct sim *s)
 {
     return s->now_us / 1000;
 }
 
 static inline uint32_t
-sim_domain(const struct sim *s, uint32_t index)
+sim_domain_of(const struct sim *s, uint32_t index)
 {
-    return index % s->d->domains;
+    return index % s->d->domain_count;
 }
 
 /* --- sim.c --- */
-void sim_at(struct sim *s, uint64_t in_us, sim_fn fn, void *data);
-double sim_chance(struct sim *s);
-/* An agent that still is the process that asked. */
-bool sim_same(const struct sim_call *c);
-/* For an event of a process; whoever handles it frees it. */
-struct sim_alive *sim_alive(uint64_t id);
-uint64_t sim_new_id(struct sim *s, uint32_t place);
+/* Runs fn in in_us from now. */
+void sim_schedule(struct sim *s, uint64_t in_us, sim_fn fn, void *data);
+/* Uniformly distributed in [0, 1). */
+double sim_random(struct sim *s);
+/* True if the agent process that sent the call is still running. */
+bool sim_agent_is_current(const struct sim_call *c);
+/* Allocates the reference; the event handler frees it. */
+struct sim_process_ref *sim_process_ref(uint64_t id);
+/* A new process id; index is that of the agent or entry, with SIM_ENTRY_BIT
+ * for entries. */
+uint64_t sim_new_id(struct sim *s, uint32_t index);
 void sim_domain_name(char *out, size_t cap, uint32_t domain);
-/* It leaves after_us from now. */
+/* Sends a copy of msg, after_us from now. */
 void sim_send(struct sim *s, uint64_t after_us, uint64_t from, uint64_t to,
     const dw_msg *msg);
-struct sim_entry *sim_entry_of(struct sim *s, uint64_t id);
-void sim_broken(struct sim *s, const char *fmt, ...)
+/* The entry with that process id; NULL if it is not running. */
+struct sim_entry *sim_entry_by_id(struct sim *s, uint64_t id);
+/* Records that a guarantee of the scheduler was broken. */
+void sim_violation(struct sim *s, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 
 /* --- simentry.c: entries and their processors --- */
 void sim_entry_start(struct sim *s, struct sim_entry *e);
-void sim_entry_end(struct sim *s, struct sim_entry *e);
-/* A message has come, which the entry frees. */
+void sim_entry_stop(struct sim *s, struct sim_entry *e);
+/* Delivers a message; the entry frees it. */
 void sim_entry_message(struct sim_entry *e, uint64_t from, dw_msg *msg);
-/* A request has come. */
+/* Delivers a request of a caller. */
 void sim_entry_request(struct sim_entry *e, struct sim_job *j);
-/* A caller has left. */
-void sim_entry_left(struct sim_entry *e, struct sim_job *j);
-/* The balancer sends it callers. */
+/* The caller has closed its connection. */
+void sim_entry_cancel(struct sim_entry *e, struct sim_job *j);
+/* True if the balancer sends callers to it. */
 bool sim_entry_in_rotation(const struct sim_entry *e);
-void sim_read_store(struct sim *s, void *alive);
+/* Event: an entry reads the agents, entries, withdrawn domains and estimates
+ * that the store holds; ref is a struct sim_process_ref. */
+void sim_read_store(struct sim *s, void *ref);
 
-/* --- simwork.c: workers and the calls of their agents --- */
+/* --- simworker.c: workers and the calls of their agents --- */
 extern const struct rn_ops sim_worker_ops;
 void sim_worker_start(struct sim *s, struct sim_worker *w);
+/* The worker dies with all its runs. */
 void sim_worker_crash(struct sim *s, struct sim_worker *w);
-void sim_worker_pace(struct sim *s, struct sim_worker *w, double slow);
+/* Changes the slowdown; runs keep the work done so far. */
+void sim_worker_set_slowdown(struct sim *s, struct sim_worker *w, double slow);
+/* Ends all runs if the lease has expired. */
 void sim_worker_tick(struct sim *s, struct sim_worker *w);
 void sim_worker_free(struct sim_worker *w);
+/* ms since the worker started, plus 1. */
 uint64_t sim_worker_clock(const struct sim *s, const struct sim_worker *w);
 
-/* --- simcall.c: callers --- */
-void sim_note_estimate(struct sim *s, uint32_t estimated_ms, uint32_t true_ms);
-struct sim_job *sim_job_of(struct sim *s, uint64_t id);
+/* --- simcaller.c: callers --- */
+void sim_record_estimate(
+    struct sim *s, uint32_t estimated_ms, uint32_t true_ms);
+struct sim_job *sim_job_by_id(struct sim *s, uint64_t id);
 void sim_callers_start(struct sim *s);
-/* The job if this try of it still waits. */
-struct sim_job *sim_open_try(struct sim *s, uint64_t job, uint32_t try);
-/* What the job asks of an entry; free(3) its tasks. */
+/* The job, if that attempt of its caller still waits for its answer. */
+struct sim_job *sim_job_awaiting(
+    struct sim *s, uint64_t job, uint32_t attempt);
+/* The submission of the job to an entry; free(3) its tasks. */
 struct co_submit sim_submission(const struct sim *s, const struct sim_job *j);
 void sim_answered(struct sim *s, const struct sim_answer *a);
-/* Every open try at the entry ends without an answer. */
-void sim_cut(struct sim *s, uint64_t entry_id);
-void sim_count(struct sim *s);
+/* Closes the connections of all callers that wait at the entry. */
+void sim_disconnect_callers(struct sim *s, uint64_t entry_id);
+/* Computes the totals and the score from all jobs. */
+void sim_compute_result(struct sim *s);
 void sim_callers_free(struct sim *s);
 
 #endif
--- a/sim.c
+++ b/sim.c
@@ -1,4 +1,4 @@
-/* Time, agents, the network and the troubles of a day. */
+/* Event queue, network, agents, store and faults of the simulation. */
 #include "sim.h"
 
 #include <stdarg.h>
@@ -9,21 +9,22 @@
 #include "num.h"
 #include "sim-int.h"
 
-/* us between a worker's reports about itself. */
-#define BEAT_US 1500000U
-/* us from an agent's start until it stands in the store. */
-#define ENTER_US 30000U
+/* Interval at which a worker reports its capacity to its agent. */
+#define HEARTBEAT_US 1500000U
+/* Time from an agent's start until it is registered in the store. */
+#define REGISTER_US 30000U
+/* Of a worker; never the bottleneck. */
 #define MEMORY_MB 1000000U
-/* The soonest a dead process runs again, in ms. */
-#define START_MIN_MS 50U
-/* ms after the last request in which answers are awaited. */
-#define AFTER_MS 12000U
-/* Times as long that a task takes that stands still. */
-#define STANDSTILL 1e6
-
-const char *const sim_trouble_names[SIM_TROUBLE_KINDS] = {
+/* Shortest time until a dead process runs again. */
+#define RESTART_MIN_MS 50U
+/* Time after the last request in which answers still count. */
+#define DRAIN_MS 12000U
+/* Slowdown of tasks that hang. */
+#define HANG_SLOWDOWN 1e6
+
+const char *const sim_fault_names[SIM_FAULT_KINDS] = {
     [SIM_BURST] = "burst",
-    [SIM_DARK] = "dark",
+    [SIM_POWER_LOSS] = "dark",
     [SIM_WITHDRAWN] = "withdrawn",
     [SIM_SLOW] = "slow",
     [SIM_HANG] = "hang",
@@ -31,24 +32,25 @@
     [SIM_CRASH] = "crash",
     [SIM_LATE_ORDERS] = "late_orders",
     [SIM_LEAVE] = "leave",
-    [SIM_LARGE] = "large",
-    [SIM_HOPELESS] = "hopeless",
+    [SIM_WIDE_JOBS] = "large",
+    [SIM_FAILING_JOBS] = "hopeless",
     [SIM_ENTRY_KILL] = "entry_kill",
     [SIM_ENTRY_SLOW] = "entry_slow",
 };
 
-/* --- time --- */
+/* --- event queue --- */
 
 static bool
 is_before(const struct sim_event *a, const struct sim_event *b)
 {
-    return a->at_us != b->at_us ? a->at_us < b->at_us : a->order < b->order;
+    return a->at_us != b->at_us ? a->at_us < b->at_us
+                                : a->sequence < b->sequence;
 }
 
 void
-sim_at(struct sim *s, uint64_t in_us, sim_fn fn, void *data)
+sim_schedule(struct sim *s, uint64_t in_us, sim_fn fn, void *data)
 {
-    struct sim_event e = {s->now_us + in_us, s->order++, fn, data};
+    struct sim_event e = {s->now_us + in_us, s->next_sequence++, fn, data};
     size_t i = s->event_count++;
 
     if (s->event_count > s->event_cap) {
@@ -63,7 +65,7 @@
 }
 
 static struct sim_event
-take_event(struct sim *s)
+pop_event(struct sim *s)
 {
     struct sim_event first = s->events[0];
     struct sim_event last = s->events[--s->event_count];
@@ -90,16 +92,16 @@
 }
 
 double
-sim_chance(struct sim *s)
+sim_random(struct sim *s)
 {
     return gsl_rng_uniform(s->rng);
 }
 
-/* A day with so many breaches needs no more of them. */
-#define BROKEN_MAX 2000U
+/* Further violations of a day are not recorded. */
+#define VIOLATIONS_MAX_BYTES 2000U
 
 void
-sim_broken(struct sim *s, const char *fmt, ...)
+sim_violation(struct sim *s, const char *fmt, ...)
 {
     char text[200];
     va_list ap;
@@ -107,9 +109,9 @@
     va_start(ap, fmt);
     vsnprintf(text, sizeof(text), fmt, ap);
     va_end(ap);
-    if (s->out->broken.n < BROKEN_MAX) {
-        buf_addf(&s->out->broken, "at %llu ms: %s\n",
-            (unsigned long long)(sim_ms(s) - SIM_LEAD_US / 1000), text);
+    if (s->result->violations.n < VIOLATIONS_MAX_BYTES) {
+        buf_addf(&s->result->violations, "at %llu ms: %s\n",
+            (unsigned long long)(sim_now_ms(s) - SIM_WARMUP_US / 1000), text);
     }
 }
 
@@ -121,44 +123,45 @@
     dw_msg *msg;
 };
 
-/* An id tells where a process is: its life above, then its place. */
-#define PLACE_MASK 0x7fffU
-#define LIFE_SHIFT 16U
+/* A process id holds a process number, unique within a day, above the index of
+ * the agent or the entry and SIM_ENTRY_BIT. */
+#define INDEX_MASK 0x7fffU
+#define PROCESS_SHIFT 16U
 
 uint64_t
-sim_new_id(struct sim *s, uint32_t place)
+sim_new_id(struct sim *s, uint32_t index)
 {
-    return ++s->next_life << LIFE_SHIFT | place;
+    return ++s->next_process << PROCESS_SHIFT | index;
 }
 
 struct sim_entry *
-sim_entry_of(struct sim *s, uint64_t id)
+sim_entry_by_id(struct sim *s, uint64_t id)
 {
-    struct sim_entry *e = &s->entries[id & PLACE_MASK];
+    struct sim_entry *e = &s->entries[id & INDEX_MASK];
 
     return (id & SIM_ENTRY_BIT) != 0 && e->id == id ? e : NULL;
 }
 
 static struct sim_agent *
-agent_of(struct sim *s, uint64_t id)
+agent_by_id(struct sim *s, uint64_t id)
 {
-    struct sim_agent *a = &s->agents[id & PLACE_MASK];
+    struct sim_agent *a = &s->agents[id & INDEX_MASK];
 
     return (id & SIM_ENTRY_BIT) == 0 && a->id == id ? a : NULL;
 }
 
 bool
-sim_same(const struct sim_call *c)
+sim_agent_is_current(const struct sim_call *c)
 {
     return c->agent->id == c->agent_id;
 }
 
 static void
-arrives(struct sim *s, void *data)
+deliver(struct sim *s, void *data)
 {
     struct message *m = data;
-    struct sim_entry *e = sim_entry_of(s, m->to);
-    struct sim_agent *a = agent_of(s, m->to);
+    struct sim_entry *e = sim_entry_by_id(s, m->to);
+    struct sim_agent *a = agent_by_id(s, m->to);
 
     if (e != NULL) {
         sim_entry_message(e, m->from, m->msg);
@@ -166,19 +169,20 @@
         return;
     }
     if (a != NULL && m->msg->type == DW_ORDERS) {
-        ag_orders(&a->a, sim_ms(s), m->from, &m->msg->dw_msg_u.orders);
-        ag_flush(&a->a, sim_ms(s));
+        ag_orders(&a->agent, sim_now_ms(s), m->from, &m->msg->dw_msg_u.orders);
+        ag_flush(&a->agent, sim_now_ms(s));
     }
     msg_free(m->msg);
     free(m);
 }
 
 static uint32_t
-way_us(const struct sim *s, uint64_t from, uint64_t to)
+latency_us(const struct sim *s, uint64_t from, uint64_t to)
 {
-    return sim_domain(s, from & PLACE_MASK) == sim_domain(s, to & PLACE_MASK)
-               ? s->d->near_us
-               : s->d->far_us;
+    return sim_domain_of(s, from & INDEX_MASK) ==
+                   sim_domain_of(s, to & INDEX_MASK)
+               ? s->d->local_latency_us
+               : s->d->cross_domain_latency_us;
 }
 
 void
@@ -188,8 +192,8 @@
     struct message *m = dw_zero(1, sizeof(*m));
 
     *m = (struct message){from, to, msg_clone(msg)};
-    s->out->messages++;
-    sim_at(s, after_us + way_us(s, from, to), arrives, m);
+    s->result->messages++;
+    sim_schedule(s, after_us + latency_us(s, from, to), deliver, m);
 }
 
 /* --- agents --- */
@@ -210,14 +214,14 @@
 }
 
 static void
-agent_note_end(
-    void *ctx, const struct rn_run *run, dw_end how, uint32_t ran_ms)
+agent_note_outcome(
+    void *ctx, const struct rn_run *run, dw_end outcome, uint32_t ran_ms)
 {
     struct sim_agent *a = ctx;
 
     (void)run;
     (void)ran_ms;
-    a->s->out->bounced += how == DW_END_FULL;
+    a->s->result->rejected_full += outcome == DW_END_FULL;
 }
 
 static void
@@ -231,12 +235,12 @@
 }
 
 static struct ag_ops agent_ops = {
-    {0}, agent_send, agent_reconnect, agent_note_end, agent_note_session};
+    {0}, agent_send, agent_reconnect, agent_note_outcome, agent_note_session};
 
-struct sim_alive *
-sim_alive(uint64_t id)
+struct sim_process_ref *
+sim_process_ref(uint64_t id)
 {
-    struct sim_alive *p = dw_zero(1, sizeof(*p));
+    struct sim_process_ref *p = dw_zero(1, sizeof(*p));
 
     p->id = id;
     return p;
@@ -245,42 +249,42 @@
 static void
 tick_agent(struct sim *s, void *data)
 {
-    struct sim_alive *p = data;
-    struct sim_agent *a = agent_of(s, p->id);
+    struct sim_process_ref *p = data;
+    struct sim_agent *a = agent_by_id(s, p->id);
 
     if (a == NULL) {
         free(p);
         return;
     }
-    ag_tick(&a->a, sim_ms(s));
-    ag_flush(&a->a, sim_ms(s));
-    sim_at(s, SIM_TICK_US, tick_agent, p);
+    ag_tick(&a->agent, sim_now_ms(s));
+    ag_flush(&a->agent, sim_now_ms(s));
+    sim_schedule(s, SIM_TICK_US, tick_agent, p);
 }
 
 static void
-tell_worker(struct sim *s, struct sim_agent *a)
+report_capacity(struct sim *s, struct sim_agent *a)
 {
     const struct sim_worker *w = &s->workers[a->index];
 
     if (w->up) {
-        rn_room(&a->a.runner, sim_ms(s), s->d->millicores[a->index], MEMORY_MB,
-            0, w->born_ms);
-        ag_flush(&a->a, sim_ms(s));
+        rn_room(&a->agent.runner, sim_now_ms(s), s->d->millicores[a->index],
+            MEMORY_MB, 0, w->started_ms);
+        ag_flush(&a->agent, sim_now_ms(s));
     }
 }
 
 static void
-beat_worker(struct sim *s, void *data)
+worker_heartbeat(struct sim *s, void *data)
 {
-    struct sim_alive *p = data;
-    struct sim_agent *a = agent_of(s, p->id);
+    struct sim_process_ref *p = data;
+    struct sim_agent *a = agent_by_id(s, p->id);
 
     if (a == NULL) {
         free(p);
         return;
     }
-    tell_worker(s, a);
-    sim_at(s, BEAT_US, beat_worker, p);
+    report_capacity(s, a);
+    sim_schedule(s, HEARTBEAT_US, worker_heartbeat, p);
 }
 
 /* --- the store --- */
@@ -291,76 +295,76 @@
     snprintf(out, cap, "d%u", domain);
 }
 
-/* The store's watches tell everybody. */
+/* The store's watches notify all entries. */
 static void
-store_changed(struct sim *s)
+notify_entries(struct sim *s)
 {
-    for (uint32_t i = 0; i < s->d->entries; i++) {
+    for (uint32_t i = 0; i < s->d->entry_count; i++) {
         if (s->entries[i].id != 0) {
-            sim_at(
-                s, s->d->far_us, sim_read_store, sim_alive(s->entries[i].id));
+            sim_schedule(s, s->d->cross_domain_latency_us, sim_read_store,
+                sim_process_ref(s->entries[i].id));
         }
     }
 }
 
 static void
-enter_agent(struct sim *s, void *data)
+register_agent(struct sim *s, void *data)
 {
-    struct sim_alive *p = data;
-    struct sim_agent *a = agent_of(s, p->id);
+    struct sim_process_ref *p = data;
+    struct sim_agent *a = agent_by_id(s, p->id);
 
     if (a != NULL) {
-        s->entered[a->index] = a->id;
-        store_changed(s);
+        s->registered[a->index] = a->id;
+        notify_entries(s);
     }
     free(p);
 }
 
-/* --- lives --- */
+/* --- starts and restarts --- */
 
 static void
 start_agent(struct sim *s, struct sim_agent *a)
 {
     a->id = sim_new_id(s, a->index);
-    ag_init(&a->a, sim_ms(s), &agent_ops, a);
-    tell_worker(s, a);
-    sim_at(s, (uint64_t)(sim_chance(s) * SIM_TICK_US), tick_agent,
-        sim_alive(a->id));
-    sim_at(s, BEAT_US, beat_worker, sim_alive(a->id));
-    sim_at(s, ENTER_US, enter_agent, sim_alive(a->id));
+    ag_init(&a->agent, sim_now_ms(s), &agent_ops, a);
+    report_capacity(s, a);
+    sim_schedule(s, (uint64_t)(sim_random(s) * SIM_TICK_US), tick_agent,
+        sim_process_ref(a->id));
+    sim_schedule(s, HEARTBEAT_US, worker_heartbeat, sim_process_ref(a->id));
+    sim_schedule(s, REGISTER_US, register_agent, sim_process_ref(a->id));
 }
 
 static void
-end_agent(struct sim_agent *a)
+stop_agent(struct sim_agent *a)
 {
     if (a->id != 0) {
         a->id = 0;
-        ag_free(&a->a);
+        ag_free(&a->agent);
     }
 }
 
 static uint64_t
-start_delay_us(struct sim *s)
+restart_delay_us(struct sim *s)
 {
-    uint64_t span = num_minus(s->d->start_ms, START_MIN_MS);
+    uint64_t span = num_minus(s->d->restart_max_ms, RESTART_MIN_MS);
 
-    return (START_MIN_MS + (uint64_t)(sim_chance(s) * (double)span)) * 1000;
+    return (RESTART_MIN_MS + (uint64_t)(sim_random(s) * (double)span)) * 1000;
 }
 
 static void
-entry_back(struct sim *s, void *data)
+restart_entry(struct sim *s, void *data)
 {
-    if (!s->over) {
+    if (!s->shutting_down) {
         sim_entry_start(s, data);
     }
 }
 
 static void
-agent_back(struct sim *s, void *data)
+restart_agent(struct sim *s, void *data)
 {
     struct sim_agent *a = data;
 
-    if (s->over) {
+    if (s->shutting_down) {
         return;
     }
     sim_worker_start(s, &s->workers[a->index]);
@@ -368,207 +372,210 @@
 }
 
 static void
-worker_back(struct sim *s, void *data)
+restart_worker(struct sim *s, void *data)
 {
     struct sim_worker *w = data;
 
     if (!w->up) {
         sim_worker_start(s, w);
         if (s->agents[w->index].id != 0) {
-            tell_worker(s, &s->agents[w->index]);
+            report_capacity(s, &s->agents[w->index]);
         }
     }
 }
 
-/* --- troubles --- */
+/* --- faults --- */
 
-/* The workers that a trouble is about: the same while it lasts. */
+/* Selects the same workers when the fault begins and when it ends. */
 static bool
-is_hit(const struct sim *s, const struct sim_trouble *t, uint32_t worker)
+is_affected(
+    const struct sim *s, const struct sim_fault *fault, uint32_t worker)
 {
-    uint64_t h = mix64(s->d->seed + t->at_ms, worker);
+    uint64_t h = mix64(s->d->seed + fault->start_ms, worker);
 
-    return (double)(h % 1000) < t->share * 1000;
+    return (double)(h % 1000) < fault->share * 1000;
 }
 
 static void
-for_kinds(
-    const struct sim *s, const struct sim_trouble *t, double *rates, double x)
+set_kind_factors(const struct sim *s, const struct sim_fault *fault,
+    double *factors, double factor)
 {
-    for (uint32_t k = 0; k < s->d->kinds; k++) {
-        if (t->all || k == t->target) {
-            rates[k] = x;
+    for (uint32_t k = 0; k < s->d->kind_count; k++) {
+        if (fault->all_kinds || k == fault->target) {
+            factors[k] = factor;
         }
     }
 }
 
 static void
-burst(struct sim *s, const struct sim_trouble *t, bool begins)
+apply_burst(struct sim *s, const struct sim_fault *fault, bool starts)
 {
-    for_kinds(s, t, s->rate_x, begins ? t->x : 1);
+    set_kind_factors(s, fault, s->rate_factor, starts ? fault->factor : 1);
 }
 
 static void
-large(struct sim *s, const struct sim_trouble *t, bool begins)
+apply_wide_jobs(struct sim *s, const struct sim_fault *fault, bool starts)
 {
-    for_kinds(s, t, s->width_x, begins ? t->x : 1);
+    set_kind_factors(s, fault, s->width_factor, starts ? fault->factor : 1);
 }
 
 static void
-dark(struct sim *s, const struct sim_trouble *t, bool begins)
+apply_power_loss(struct sim *s, const struct sim_fault *fault, bool starts)
 {
-    (void)t;
-    for (uint32_t i = 0; i < s->d->entries; i++) {
-        if (begins) {
-            sim_entry_end(s, &s->entries[i]);
+    (void)fault;
+    for (uint32_t i = 0; i < s->d->entry_count; i++) {
+        if (starts) {
+            sim_entry_stop(s, &s->entries[i]);
         }
         else {
-            sim_at(s, start_delay_us(s), entry_back, &s->entries[i]);
+            sim_schedule(
+                s, restart_delay_us(s), restart_entry, &s->entries[i]);
         }
     }
-    for (uint32_t i = 0; i < s->d->workers; i++) {
-        if (begins) {
-            end_agent(&s->agents[i]);
+    for (uint32_t i = 0; i < s->d->worker_count; i++) {
+        if (starts) {
+            stop_agent(&s->agents[i]);
             sim_worker_crash(s, &s->workers[i]);
         }
         else {
-            sim_at(s, start_delay_us(s), agent_back, &s->agents[i]);
+            sim_schedule(s, restart_delay_us(s), restart_agent, &s->agents[i]);
         }
     }
 }
 
 static void
-withdrawn(struct sim *s, const struct sim_trouble *t, bool begins)
+apply_withdrawn(struct sim *s, const struct sim_fault *fault, bool starts)
 {
-    s->withdrawn[t->target % s->d->domains] = begins;
-    store_changed(s);
+    s->withdrawn[fault->target % s->d->domain_count] = starts;
+    notify_entries(s);
 }
 
 static void
-pace(struct sim *s, const struct sim_trouble *t, double slow)
+set_slowdown(struct sim *s, const struct sim_fault *fault, double slowdown)
 {
-    for (uint32_t i = 0; i < s->d->workers; i++) {
-        if (is_hit(s, t, i)) {
-            sim_worker_pace(s, &s->workers[i], slow);
+    for (uint32_t i = 0; i < s->d->worker_count; i++) {
+        if (is_affected(s, fault, i)) {
+            sim_worker_set_slowdown(s, &s->workers[i], slowdown);
         }
     }
 }
 
 static void
-slow(struct sim *s, const struct sim_trouble *t, bool begins)
+apply_slow(struct sim *s, const struct sim_fault *fault, bool starts)
 {
-    pace(s, t, begins ? t->x : 1);
+    set_slowdown(s, fault, starts ? fault->factor : 1);
 }
 
 static void
-hang(struct sim *s, const struct sim_trouble *t, bool begins)
+apply_hang(struct sim *s, const struct sim_fault *fault, bool starts)
 {
-    pace(s, t, begins ? STANDSTILL : 1);
+    set_slowdown(s, fault, starts ? HANG_SLOWDOWN : 1);
 }
 
 static void
-fail(struct sim *s, const struct sim_trouble *t, bool begins)
+apply_fail(struct sim *s, const struct sim_fault *fault, bool starts)
 {
-    for (uint32_t i = 0; i < s->d->workers; i++) {
-        if (is_hit(s, t, i)) {
-            s->workers[i].fails = begins;
+    for (uint32_t i = 0; i < s->d->worker_count; i++) {
+        if (is_affected(s, fault, i)) {
+            s->workers[i].fails_runs = starts;
         }
     }
 }
 
 static void
-crash(struct sim *s, const struct sim_trouble *t, bool begins)
+apply_crash(struct sim *s, const struct sim_fault *fault, bool starts)
 {
-    for (uint32_t i = 0; i < s->d->workers; i++) {
-        if (is_hit(s, t, i) && begins) {
+    for (uint32_t i = 0; i < s->d->worker_count; i++) {
+        if (is_affected(s, fault, i) && starts) {
             sim_worker_crash(s, &s->workers[i]);
         }
-        else if (is_hit(s, t, i)) {
-            worker_back(s, &s->workers[i]);
+        else if (is_affected(s, fault, i)) {
+            restart_worker(s, &s->workers[i]);
         }
     }
 }
 
 static void
-late_orders(struct sim *s, const struct sim_trouble *t, bool begins)
+apply_late_orders(struct sim *s, const struct sim_fault *fault, bool starts)
 {
-    for (uint32_t i = 0; i < s->d->workers; i++) {
-        s->workers[i].late = begins ? t->share : 0;
+    for (uint32_t i = 0; i < s->d->worker_count; i++) {
+        s->workers[i].late_order_share = starts ? fault->share : 0;
     }
 }
 
 static void
-leave(struct sim *s, const struct sim_trouble *t, bool begins)
+apply_leave(struct sim *s, const struct sim_fault *fault, bool starts)
 {
-    s->leave_share = begins ? t->share : 0;
+    s->leave_share = starts ? fault->share : 0;
 }
 
 static void
-hopeless(struct sim *s, const struct sim_trouble *t, bool begins)
+apply_failing_jobs(struct sim *s, const struct sim_fault *fault, bool starts)
 {
-    s->hopeless_share = begins ? t->share : 0;
+    s->failing_job_share = starts ? fault->share : 0;
 }
 
 static void
-entry_slow(struct sim *s, const struct sim_trouble *t, bool begins)
+apply_entry_slow(struct sim *s, const struct sim_fault *fault, bool starts)
 {
-    s->entries[t->target % s->d->entries].slow = begins ? t->x : 1;
+    s->entries[fault->target % s->d->entry_count].slowdown =
+        starts ? fault->factor : 1;
 }
 
 static void
-entry_kill(struct sim *s, const struct sim_trouble *t, bool begins)
+apply_entry_kill(struct sim *s, const struct sim_fault *fault, bool starts)
 {
-    struct sim_entry *e = &s->entries[t->target % s->d->entries];
+    struct sim_entry *e = &s->entries[fault->target % s->d->entry_count];
     uint64_t id = e->id;
 
-    if (!begins) {
+    if (!starts) {
         if (id == 0) {
             sim_entry_start(s, e);
         }
         return;
     }
-    sim_entry_end(s, e);
-    for (uint32_t i = 0; id != 0 && i < s->d->workers; i++) {
+    sim_entry_stop(s, e);
+    for (uint32_t i = 0; id != 0 && i < s->d->worker_count; i++) {
         if (s->agents[i].id != 0) {
-            ag_refused(&s->agents[i].a, sim_ms(s), id);
+            ag_refused(&s->agents[i].agent, sim_now_ms(s), id);
         }
     }
 }
 
-typedef void (*trouble_fn)(
-    struct sim *s, const struct sim_trouble *t, bool begins);
-
-static const trouble_fn trouble_fns[SIM_TROUBLE_KINDS] = {
-    [SIM_BURST] = burst,
-    [SIM_DARK] = dark,
-    [SIM_WITHDRAWN] = withdrawn,
-    [SIM_SLOW] = slow,
-    [SIM_HANG] = hang,
-    [SIM_FAIL] = fail,
-    [SIM_CRASH] = crash,
-    [SIM_LATE_ORDERS] = late_orders,
-    [SIM_LEAVE] = leave,
-    [SIM_LARGE] = large,
-    [SIM_HOPELESS] = hopeless,
-    [SIM_ENTRY_KILL] = entry_kill,
-    [SIM_ENTRY_SLOW] = entry_slow,
+typedef void (*fault_fn)(
+    struct sim *s, const struct sim_fault *fault, bool starts);
+
+static const fault_fn fault_fns[SIM_FAULT_KINDS] = {
+    [SIM_BURST] = apply_burst,
+    [SIM_POWER_LOSS] = apply_power_loss,
+    [SIM_WITHDRAWN] = apply_withdrawn,
+    [SIM_SLOW] = apply_slow,
+    [SIM_HANG] = apply_hang,
+    [SIM_FAIL] = apply_fail,
+    [SIM_CRASH] = apply_crash,
+    [SIM_LATE_ORDERS] = apply_late_orders,
+    [SIM_LEAVE] = apply_leave,
+    [SIM_WIDE_JOBS] = apply_wide_jobs,
+    [SIM_FAILING_JOBS] = apply_failing_jobs,
+    [SIM_ENTRY_KILL] = apply_entry_kill,
+    [SIM_ENTRY_SLOW] = apply_entry_slow,
 };
 
 static void
-trouble_begins(struct sim *s, void *data)
+begin_fault(struct sim *s, void *data)
 {
-    const struct sim_trouble *t = data;
+    const struct sim_fault *fault = data;
 
-    trouble_fns[t->kind](s, t, true);
+    fault_fns[fault->kind](s, fault, true);
 }
 
 static void
-trouble_ends(struct sim *s, void *data)
+end_fault(struct sim *s, void *data)
 {
-    const struct sim_trouble *t = data;
+    const struct sim_fault *fault = data;
 
-    if (!s->over) {
-        trouble_fns[t->kind](s, t, false);
+    if (!s->shutting_down) {
+        fault_fns[fault->kind](s, fault, false);
     }
 }
 
@@ -578,68 +585,69 @@
 tick_workers(struct sim *s, void *data)
 {
     (void)data;
-    for (uint32_t i = 0; i < s->d->workers; i++) {
+    for (uint32_t i = 0; i < s->d->worker_count; i++) {
         sim_worker_tick(s, &s->workers[i]);
     }
-    if (!s->over) {
-        sim_at(s, SIM_TICK_US, tick_workers, NULL);
+    if (!s->shutting_down) {
+        sim_schedule(s, SIM_TICK_US, tick_workers, NULL);
     }
 }
 
 static void
-begin(struct sim *s)
+start_day(struct sim *s)
 {
     const struct sim_deployment *d = s->d;
 
     agent_ops.worker = sim_worker_ops;
-    s->now_us = 1000000; /* no module meets a time of 0 */
-    for (uint32_t i = 0; i < d->workers; i++) {
+    s->now_us = 1000000; /* the decision modules never see a time of 0 */
+    for (uint32_t i = 0; i < d->worker_count; i++) {
         s->workers[i].index = i;
-        s->workers[i].slow = 1;
+        s->workers[i].slowdown = 1;
         s->agents[i].s = s;
         s->agents[i].index = i;
-        sim_at(s, start_delay_us(s), agent_back, &s->agents[i]);
+        sim_schedule(s, restart_delay_us(s), restart_agent, &s->agents[i]);
     }
-    for (uint32_t i = 0; i < d->entries; i++) {
+    for (uint32_t i = 0; i < d->entry_count; i++) {
         s->entries[i].s = s;
         s->entries[i].index = i;
-        s->entries[i].slow = 1;
-        sim_at(s, start_delay_us(s), entry_back, &s->entries[i]);
+        s->entries[i].slowdown = 1;
+        sim_schedule(s, restart_delay_us(s), restart_entry, &s->entries[i]);
     }
-    for (uint32_t k = 0; k < d->kinds; k++) {
-        s->rate_x[k] = s->width_x[k] = 1;
+    for (uint32_t k = 0; k < d->kind_count; k++) {
+        s->rate_factor[k] = s->width_factor[k] = 1;
     }
-    for (uint32_t i = 0; i < d->troubles; i++) {
-        const struct sim_trouble *t = &d->trouble[i];
-        uint64_t at_us = SIM_LEAD_US + 1000ULL * t->at_ms;
+    for (uint32_t i = 0; i < d->fault_count; i++) {
+        const struct sim_fault *fault = &d->fault[i];
+        uint64_t at_us = SIM_WARMUP_US + 1000ULL * fault->start_ms;
 
-        sim_at(s, at_us, trouble_begins, (void *)t);
-        sim_at(s, at_us + 1000ULL * t->for_ms, trouble_ends, (void *)t);
+        sim_schedule(s, at_us, begin_fault, (void *)fault);
+        sim_schedule(
+            s, at_us + 1000ULL * fault->duration_ms, end_fault, (void *)fault);
     }
-    sim_at(s, 0, tick_workers, NULL);
+    sim_schedule(s, 0, tick_workers, NULL);
     sim_callers_start(s);
 }
 
-/* Each event frees what it carries: let those that are left find everybody
- * gone. */
+/* Event handlers free their data: stop all processes, so that the events left
+ * over can still run but have no effect. */
 static void
-wind_down(struct sim *s)
+shut_down(struct sim *s)
 {
-    s->over = true;
-    for (uint32_t i = 0; i < s->d->entries; i++) {
-        sim_entry_end(s, &s->entries[i]);
+    s->shutting_down = true;
+    for (uint32_t i = 0; i < s->d->entry_count; i++) {
+        sim_entry_stop(s, &s->entries[i]);
     }
-    for (uint32_t i = 0; i < s->d->workers; i++) {
-        end_agent(&s->agents[i]);
+    for (uint32_t i = 0; i < s->d->worker_count; i++) {
+        stop_agent(&s->agents[i]);
         sim_worker_crash(s, &s->workers[i]);
     }
 }
 
 static void
-play_until(struct sim *s, uint64_t end_us)
+run_events(struct sim *s, uint64_t end_us)
 {
     while (s->event_count > 0 && s->events[0].at_us < end_us) {
-        struct sim_event e = take_event(s);
+        struct sim_event e = pop_event(s);
 
         s->now_us = e.at_us;
         e.fn(s, e.data);
@@ -647,25 +655,25 @@
 }
 
 void
-sim_play(const struct sim_deployment *d, struct sim_result *out)
+sim_run_day(const struct sim_deployment *d, struct sim_result *out)
 {
     struct sim *s = dw_zero(1, sizeof(*s));
     uint64_t end_us;
 
     memset(out, 0, sizeof(*out));
     s->d = d;
-    s->out = out;
+    s->result = out;
     s->rng = gsl_rng_alloc(gsl_rng_mt19937);
     gsl_rng_set(s->rng, (unsigned long)d->seed);
-    begin(s);
-    end_us = s->now_us + SIM_LEAD_US + 1000ULL * (d->length_ms + AFTER_MS);
-    play_until(s, end_us);
-    sim_count(s);
-    wind_down(s);
-    play_until(s, UINT64_MAX);
+    start_day(s);
+    end_us = s->now_us + SIM_WARMUP_US + 1000ULL * (d->length_ms + DRAIN_MS);
+    run_events(s, end_us);
+    sim_compute_result(s);
+    shut_down(s);
+    run_events(s, UINT64_MAX);
     sim_callers_free(s);
-    for (uint32_t i = 0; i < d->entries; i++) {
-        buf_free(&s->times[i]);
+    for (uint32_t i = 0; i < d->entry_count; i++) {
+        buf_free(&s->saved_estimates[i]);
     }
     gsl_rng_free(s->rng);
     free(s->events);
@@ -676,5 +684,5 @@
 sim_result_free(struct sim_result *r)
 {
     free(r->window);
-    buf_free(&r->broken);
+    buf_free(&r->violations);
 }
--- a/sim.h
+++ b/sim.h
@@ -1,13 +1,14 @@
 /*
- * sim - entries, agents, workers and callers in virtual time
+ * sim - discrete-event simulation of entries, agents, workers and callers
  *
- * The deciding modules coord, fleet, sess, agent and runner are the product's
- * own; workers, callers, the store's list of agents and the network between
- * them are models that follow one seed.  The same deployment gives the same
- * day, event by event.
+ * The decision modules (coord, fleet, sess, agent, runner and those below
+ * them) are the ones of the daemon.  Workers, callers, the store's list of
+ * agents and the network are models driven by one seed: the same deployment
+ * gives the same sequence of events.
  *
- * Time is kept in us, as messages within a domain take less than a
- * millisecond; the modules see whole milliseconds.
+ * One simulated run of a deployment is called a day, whatever its length.
+ * The simulation counts time in us, because messages within a failure domain
+ * take less than a millisecond; the decision modules get whole milliseconds.
  */
 #ifndef SIM_H
 #define SIM_H
@@ -26,168 +27,181 @@
 #define SIM_ENTRIES_MAX 64U
 #define SIM_WORKERS_MAX 1000U
 #define SIM_KINDS_MAX 4U
-#define SIM_TROUBLES_MAX 8U
+#define SIM_FAULTS_MAX 8U
+/* Length of the windows in which results are also counted. */
 #define SIM_WINDOW_MS 2000U
 
-/* What callers take as their deadline. */
+/* How callers choose their deadline; see sim_kind.timeout_ms. */
 enum sim_patience {
-    SIM_PATIENCE_OF_WORK, /* a wait and a multiple of their objective */
-    SIM_PATIENCE_FIXED,   /* the same for all of a kind */
-    SIM_PATIENCE_LOOSE,   /* anything from a short to a long wait */
+    SIM_PATIENCE_OF_WORK, /* timeout_ms plus a multiple of the objective */
+    SIM_PATIENCE_FIXED,   /* the same for all requests of a kind */
+    SIM_PATIENCE_LOOSE,   /* log-normal, from short to long waits */
     SIM_PATIENCE_COUNT
 };
 
-/* A kind of request, which is a route of its own. */
+/* A kind of request; each has a route of its own.  The objective of a request
+ * is stretch_milli / 1000 times its longest task plus slo_ms. */
 struct sim_kind {
-    double share;        /* of all requests */
-    double worth;        /* of a request of mean work, served in time */
-    double run_ms;       /* median run time of a task */
-    double run_sigma;    /* of its logarithm, from job to job */
-    double width;        /* mean number of tasks */
-    uint32_t width_max;  /* of tasks */
-    uint32_t millicores; /* of a task */
-    double declared;     /* declared run time over the true one, median */
-    double declared_sigma;
-    uint32_t stretch_milli;
+    double share;          /* of all requests, 0 to 1 */
+    double value;          /* of a request with mean work, answered in time */
+    double run_median_ms;  /* median run time of a task */
+    double run_log_sigma;  /* of its logarithm, from job to job */
+    double tasks_mean;     /* tasks of a request */
+    uint32_t tasks_max;    /* tasks of a request */
+    uint32_t millicores;   /* of a task */
+    double declared_ratio; /* median of declared over true run time */
+    double declared_log_sigma; /* of the logarithm of that ratio */
+    uint32_t stretch_milli;    /* in thousandths */
     uint32_t slo_ms;
-    uint32_t timeout_ms;
-    uint32_t attempts;
-    uint32_t priority;
+    uint32_t timeout_ms; /* base of the callers' deadline */
+    uint32_t attempts;   /* most runs of a task */
+    uint32_t priority;   /* as submitted to the entry */
 };
 
-enum sim_trouble_kind {
-    SIM_BURST,       /* x times the requests, of one kind or of all */
-    SIM_DARK,        /* every process loses power */
-    SIM_WITHDRAWN,   /* a domain takes no more work */
-    SIM_SLOW,        /* a share of the workers takes x times as long */
-    SIM_HANG,        /* tasks on a share of the workers stand still */
-    SIM_FAIL,        /* a share of the workers fails all runs */
-    SIM_CRASH,       /* a share of the workers dies */
-    SIM_LATE_ORDERS, /* a share x of the orders is carried out late */
-    SIM_LEAVE,       /* a share of the callers leaves early */
-    SIM_LARGE,       /* x times the width, of one kind */
-    SIM_HOPELESS,    /* a share of the jobs fails whenever run */
-    SIM_ENTRY_KILL,  /* one entry dies and comes back */
-    SIM_ENTRY_SLOW,  /* one entry's processor is x times slower */
-    SIM_TROUBLE_KINDS
+/* Faults and load changes that are injected into a day.  "x" is
+ * sim_fault.factor, "a share" is sim_fault.share. */
+enum sim_fault_kind {
+    SIM_BURST,        /* x times the request rate, of one kind or of all */
+    SIM_POWER_LOSS,   /* every process dies */
+    SIM_WITHDRAWN,    /* a failure domain is withdrawn: no more starts */
+    SIM_SLOW,         /* a share of the workers takes x times as long */
+    SIM_HANG,         /* tasks on a share of the workers make no progress */
+    SIM_FAIL,         /* a share of the workers fails all runs */
+    SIM_CRASH,        /* a share of the workers dies */
+    SIM_LATE_ORDERS,  /* a share of the orders is carried out late */
+    SIM_LEAVE,        /* a share of the callers leaves early */
+    SIM_WIDE_JOBS,    /* x times the tasks per request, of one kind */
+    SIM_FAILING_JOBS, /* a share of the jobs fails in every run */
+    SIM_ENTRY_KILL,   /* one entry dies and is restarted */
+    SIM_ENTRY_SLOW,   /* one entry's processor is x times slower */
+    SIM_FAULT_KINDS
 };
 
-extern const char *const sim_trouble_names[SIM_TROUBLE_KINDS];
-
-struct sim_trouble {
-    enum sim_trouble_kind kind;
-    uint32_t at_ms;
-    uint32_t for_ms;
-    double share;    /* of workers, callers or jobs */
-    double x;        /* how much */
-    uint32_t target; /* kind of request, domain or entry */
-    bool all;        /* kinds of request */
+/* Names of the faults in experiment files and reports. */
+extern const char *const sim_fault_names[SIM_FAULT_KINDS];
+
+struct sim_fault {
+    enum sim_fault_kind kind;
+    uint32_t start_ms; /* from the first request */
+    uint32_t duration_ms;
+    double share;    /* of workers, callers, orders or jobs, 0 to 1 */
+    double factor;   /* size of the effect; see enum sim_fault_kind */
+    uint32_t target; /* index of the kind of request, domain or entry */
+    bool all_kinds;  /* of request, instead of target */
 };
 
-/* What a day's worth consists of. */
-struct sim_goal {
-    double whole;        /* weight of the whole day's part */
-    double windows;      /* of the two worst windows */
-    double kind;         /* of the worst kind of request */
-    double served_nines; /* of the share served, late or not, by nines */
+/* Weights of the parts of a day's score; see sim_result.score. */
+struct sim_weights {
+    double day;          /* share of the value earned over the whole day */
+    double windows;      /* mean of that share in the two worst windows */
+    double kind;         /* that share for the worst kind of request */
+    double served_nines; /* share of requests served, late or not, in nines */
 };
 
 struct sim_deployment {
     uint64_t seed;
-    struct sim_goal goal;
-    uint32_t length_ms;
-    uint32_t domains;
-    uint32_t entries;
-    uint32_t workers;
-    uint32_t kinds;
-    uint32_t troubles;
-    uint32_t millicores[SIM_WORKERS_MAX];
-    double speed[SIM_WORKERS_MAX];
-    double entry_share[SIM_ENTRIES_MAX]; /* of its domain's callers */
-    double entry_cpu[SIM_ENTRIES_MAX];   /* cores; 0: its work takes no time */
-    bool entries_keep;                   /* give no requests to one another */
-    bool entries_stay;                   /* in the balancer's rotation */
+    struct sim_weights weights;
+    uint32_t length_ms;    /* time in which requests arrive */
+    uint32_t domain_count; /* failure domains; index modulo this is the
+                              domain of an entry or worker */
+    uint32_t entry_count;
+    uint32_t worker_count;
+    uint32_t kind_count;
+    uint32_t fault_count;
+    uint32_t millicores[SIM_WORKERS_MAX]; /* capacity of each worker */
+    double speed[SIM_WORKERS_MAX];        /* of each worker; 1 is nominal */
+    /* Share of the callers of its domain, relative to the other entries. */
+    double entry_weight[SIM_ENTRIES_MAX];
+    double entry_cores[SIM_ENTRIES_MAX]; /* 0: its processing takes no time */
+    bool no_forwarding;                  /* between entries */
+    bool always_in_rotation; /* overloaded entries stay with the balancer */
     struct sim_kind kind[SIM_KINDS_MAX];
-    struct sim_trouble trouble[SIM_TROUBLES_MAX];
-    double per_s;    /* requests */
-    double uneven;   /* sigma of task times within a job */
-    uint32_t far_us; /* one way between domains */
-    uint32_t near_us;
-    uint32_t client_us;
-    uint32_t call_us;   /* one way between an agent and its worker */
-    uint32_t start_ms;  /* longest time until a dead process runs again */
-    uint32_t resend_ms; /* until callers send an unanswered request again */
-    double returns;     /* share of callers that come back as told */
-    double fails;       /* share of runs that fail by themselves */
+    struct sim_fault fault[SIM_FAULTS_MAX];
+    double requests_per_s;
+    double task_log_sigma; /* of task run times within a job */
+    /* One-way latencies. */
+    uint32_t cross_domain_latency_us;
+    uint32_t local_latency_us;  /* within a failure domain */
+    uint32_t caller_latency_us; /* between a caller and an entry */
+    uint32_t worker_latency_us; /* between an agent and its worker */
+    uint32_t restart_max_ms; /* longest time until a dead process restarts */
+    uint32_t resend_ms; /* until callers resend after a broken connection */
+    double retry_share; /* of refused callers, that retry after the advised
+                           time */
+    double run_failure_share; /* of runs, that fail without another fault */
     enum sim_patience patience;
 };
 
-/* What became of the requests of one window or kind. */
-struct sim_sum {
-    uint64_t asked;
-    uint64_t in_time;
-    uint64_t late;
+/* Outcomes of the requests of a day, a window or a kind. */
+struct sim_totals {
+    uint64_t requests;
+    uint64_t in_time; /* answered within the objective */
+    uint64_t late;    /* answered later, but still of use */
     uint64_t refused;
-    uint64_t lost; /* no answer, one that came too late, failed */
-    double owed;
-    double earned;
+    uint64_t lost;        /* no answer, an answer too late, or a failure */
+    double value_offered; /* of all requests but those whose caller left */
+    double value_earned;
 };
 
 struct sim_result {
-    struct sim_sum whole;
-    struct sim_sum kind[SIM_KINDS_MAX];
-    struct sim_sum *window; /* free(3) it */
-    size_t windows;
-    double worth;          /* by the goal */
-    uint64_t held_in_vain; /* refused after a quarter of the objective */
-    uint64_t refused_at_once;
+    struct sim_totals total;
+    struct sim_totals kind[SIM_KINDS_MAX];
+    struct sim_totals *window; /* free with sim_result_free() */
+    size_t window_count;
+    double score;          /* weighted by sim_deployment.weights */
+    uint64_t refused_late; /* later than a quarter of the objective */
+    uint64_t refused_early;
     uint64_t runs;
-    uint64_t bounced; /* sent back by a full agent */
-    uint64_t moved;
-    uint64_t messages;
-    uint64_t given;           /* requests, from entry to entry */
-    uint64_t sessions_lost;   /* that entries had with agents */
-    uint64_t longest_pass_us; /* of an entry's loop */
-    double run_error;         /* mean of |ln(estimated over true run time)| */
-    uint64_t estimates;
-    struct buf broken; /* promises, in words, a line each */
+    uint64_t
+        rejected_full;  /* runs that agents rejected for lack of capacity */
+    uint64_t moved;     /* runs moved to another agent */
+    uint64_t messages;  /* between entries and agents */
+    uint64_t forwarded; /* requests, from entry to entry */
+    uint64_t sessions_lost;   /* of entries with agents that fell silent */
+    uint64_t longest_pass_us; /* of an entry's event loop */
+    double estimate_error;    /* mean of |ln(estimated over true run time)| */
+    uint64_t estimates;       /* number of estimates in that mean */
+    struct buf violations;    /* of the scheduler's guarantees, one a line */
 };
 
-/* Draw a deployment of the kinds described, and its troubles. */
+/* Draws a random deployment and its faults within the given ranges. */
 struct sim_ranges;
 void sim_draw(
     struct sim_deployment *d, uint64_t seed, const struct sim_ranges *r);
 
-/* Play it to the end. */
-void sim_play(const struct sim_deployment *d, struct sim_result *out);
+/* Simulates one day of a deployment and returns its result in *out. */
+void sim_run_day(const struct sim_deployment *d, struct sim_result *out);
 void sim_result_free(struct sim_result *r);
 
-/* Bounds within which deployments are drawn. */
+/* Bounds within which deployments are drawn.  Names that end in _min and _max
+ * are inclusive bounds of the field of sim_deployment or sim_kind. */
 struct sim_ranges {
     uint32_t length_ms;
     uint32_t domains_max;
     uint32_t workers_min;
     uint32_t workers_max;
-    uint32_t entries_min; /* of a domain */
+    uint32_t entries_min; /* per domain */
     uint32_t entries_max;
     double load_min; /* requested cores over all cores */
     double load_max;
-    double per_s_max; /* requests; beyond it run times are longer */
+    /* Instead of more requests than this, tasks take longer. */
+    double requests_per_s_max;
     uint32_t task_millicores_min;
     uint32_t task_millicores_max;
-    double cpu_min; /* cores of an entry; 0: its work takes no time */
-    double cpu_max;
-    bool keep;        /* entries give no requests to one another */
-    bool stay;        /* nor leave the balancer's rotation */
-    double burst_max; /* times the usual requests */
-    uint32_t troubles_min;
-    uint32_t troubles_max;
-    bool trouble[SIM_TROUBLE_KINDS];   /* may be drawn */
-    bool patience[SIM_PATIENCE_COUNT]; /* may be drawn */
-    bool every[SIM_TROUBLE_KINDS];     /* is part of each day */
-    struct sim_goal goal;
+    double entry_cores_min; /* per entry */
+    double entry_cores_max; /* 0: processing in entries takes no time */
+    bool no_forwarding;
+    bool always_in_rotation;
+    double burst_factor_max; /* of the request rate, in SIM_BURST */
+    uint32_t faults_min;     /* drawn faults per day */
+    uint32_t faults_max;
+    bool fault_drawn[SIM_FAULT_KINDS];       /* may be drawn */
+    bool patience_drawn[SIM_PATIENCE_COUNT]; /* may be drawn */
+    bool fault_always[SIM_FAULT_KINDS];      /* part of every day */
+    struct sim_weights weights;
 };
 
+/* Sets the defaults. */
 void sim_ranges_init(struct sim_ranges *r);
 
 #ifdef __cplusplus
--- a/simentry.c
+++ b/simentry.c
@@ -1,5 +1,5 @@
-/* Entries: what they read, begin, send and answer, and what of a processor
- * that takes. */
+/* Entries of the simulation: event loop, processor time, forwarding, balancer
+ * and store. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,34 +8,35 @@
 #include "num.h"
 #include "sim-int.h"
 
-/* us from an entry's start until it has read the store. */
+/* Time from an entry's start until it has read the store. */
 #define READ_STORE_US 20000U
-/* us of a core: taking a message, sending one, reading a request, answering
- * it, beginning its job, a tick, the rest of a pass. */
-#define MESSAGE_US 12.0
-#define SEND_US 6.0
-#define REQUEST_US 20.0
-#define ANSWER_US 20.0
-#define BEGIN_US 30.0
-#define TICK_WORK_US 40.0
-#define PASS_US 10.0
-/* us between the balancer's looks, and how many have to fail. */
-#define LOOK_US 1000000U
-#define LOOKS_TO_LEAVE 2U
-
-/* --- its processor --- */
+/* Core time to receive a message, send one, read a request, answer it, submit
+ * its job, for a tick, and for the rest of a pass of the event loop. */
+#define RECEIVE_COST_US 12.0
+#define SEND_COST_US 6.0
+#define REQUEST_COST_US 20.0
+#define ANSWER_COST_US 20.0
+#define SUBMIT_COST_US 30.0
+#define TICK_COST_US 40.0
+#define PASS_COST_US 10.0
+/* The balancer's health checks: interval, and failures in a row after which an
+ * entry leaves the rotation. */
+#define CHECK_INTERVAL_US 1000000U
+#define FAILED_CHECKS_MAX 2U
+
+/* --- processor time --- */
 
 static bool
 has_processor(const struct sim_entry *e)
 {
-    return e->s->d->entry_cpu[e->index] > 0;
+    return e->s->d->entry_cores[e->index] > 0;
 }
 
 static void
-spend(struct sim_entry *e, double core_us)
+use_core_us(struct sim_entry *e, double core_us)
 {
     if (has_processor(e)) {
-        e->spent_us += core_us * e->slow / e->s->d->entry_cpu[e->index];
+        e->spent_us += core_us * e->slowdown / e->s->d->entry_cores[e->index];
     }
 }
 
@@ -46,94 +47,94 @@
 }
 
 static uint64_t
-present_us(const struct sim_entry *e)
+loop_time_us(const struct sim_entry *e)
 {
     return e->s->now_us + spent_us(e);
 }
 
 static void
-answer_arrives(struct sim *s, void *data)
+deliver_answer(struct sim *s, void *data)
 {
     sim_answered(s, data);
     free(data);
 }
 
-/* --- who waits --- */
+/* --- waiters --- */
 
-static struct sim_caller *
-new_caller(struct sim_entry *e, struct sim_job *j, struct rl_taken *t)
+static struct sim_waiter *
+new_waiter(struct sim_entry *e, struct sim_job *j, struct rl_taken *forwarded)
 {
-    struct sim_caller *who = dw_zero(1, sizeof(*who));
+    struct sim_waiter *waiter = dw_zero(1, sizeof(*waiter));
 
-    who->job = j;
-    who->try = j->try;
-    who->taken = t;
-    if (t == NULL) {
-        j->caller = who;
+    waiter->job = j;
+    waiter->attempt = j->attempt;
+    waiter->forwarded = forwarded;
+    if (forwarded == NULL) {
+        j->waiter = waiter;
     }
-    DL_APPEND(e->callers, who);
-    return who;
+    DL_APPEND(e->waiters, waiter);
+    return waiter;
 }
 
 static void
-free_caller(struct sim_entry *e, struct sim_caller *who)
+free_waiter(struct sim_entry *e, struct sim_waiter *waiter)
 {
-    if (who->job->caller == who) {
-        who->job->caller = NULL;
+    if (waiter->job->waiter == waiter) {
+        waiter->job->waiter = NULL;
     }
-    DL_DELETE(e->callers, who);
-    free(who);
+    DL_DELETE(e->waiters, waiter);
+    free(waiter);
 }
 
-/* --- what coord wants done --- */
+/* --- callbacks of coord --- */
 
 static void
 entry_send(void *ctx, uint64_t to, const dw_msg *msg)
 {
     struct sim_entry *e = ctx;
 
-    spend(e, SEND_US);
+    use_core_us(e, SEND_COST_US);
     sim_send(e->s, spent_us(e), e->id, to, msg);
 }
 
 static void
-entry_answer(void *ctx, void *handle, enum co_outcome how, const char *reason,
-    uint32_t retry_ms)
+entry_answer(void *ctx, void *handle, enum co_outcome outcome,
+    const char *reason, uint32_t retry_ms)
 {
     struct sim_entry *e = ctx;
-    struct sim_caller *who = handle;
+    struct sim_waiter *waiter = handle;
     struct sim_answer *a;
 
-    if (who->taken != NULL) {
-        rl_reply(who->taken, how, reason, retry_ms);
-        free_caller(e, who);
+    if (waiter->forwarded != NULL) {
+        rl_reply(waiter->forwarded, outcome, reason, retry_ms);
+        free_waiter(e, waiter);
         return;
     }
-    spend(e, ANSWER_US);
+    use_core_us(e, ANSWER_COST_US);
     a = dw_zero(1, sizeof(*a));
-    a->job = who->job;
-    a->try = who->try;
-    a->how = how;
+    a->job = waiter->job;
+    a->attempt = waiter->attempt;
+    a->outcome = outcome;
     a->retry_ms = retry_ms;
     a->next = e->answers;
     e->answers = a;
-    free_caller(e, who);
+    free_waiter(e, waiter);
 }
 
 static void
 entry_note(void *ctx, const struct co_job *job, const char *text)
 {
     struct sim_entry *e = ctx;
-    const struct sim_job *j = sim_job_of(e->s, job->id);
+    const struct sim_job *j = sim_job_by_id(e->s, job->id);
     uint32_t longest = 1;
 
     if (j == NULL || strcmp(text, "done") != 0) {
         return;
     }
-    for (uint32_t i = 0; i < j->count; i++) {
+    for (uint32_t i = 0; i < j->task_count; i++) {
         longest = (uint32_t)num_max(longest, j->task_us[i] / 1000);
     }
-    sim_note_estimate(e->s, (uint32_t)job->longest_ms, longest);
+    sim_record_estimate(e->s, (uint32_t)job->longest_ms, longest);
 }
 
 static void
@@ -163,7 +164,7 @@
     struct sim_entry *e = ctx;
 
     (void)a;
-    e->s->out->sessions_lost += strcmp(what, "agent_silent") == 0;
+    e->s->result->sessions_lost += strcmp(what, "agent_silent") == 0;
 }
 
 static const struct co_ops entry_ops = {entry_send, entry_answer, entry_note,
@@ -172,23 +173,23 @@
 static void
 flush(struct sim_entry *e)
 {
-    struct sim_answer *list = NULL;
+    struct sim_answer *oldest_first = NULL;
 
-    co_flush(&e->c, sim_ms(e->s));
-    rl_flush(&e->relay, sim_ms(e->s));
+    co_flush(&e->coord, sim_now_ms(e->s));
+    rl_flush(&e->relay, sim_now_ms(e->s));
     while (e->answers != NULL) {
         struct sim_answer *a = e->answers;
 
         e->answers = a->next;
-        a->next = list;
-        list = a;
+        a->next = oldest_first;
+        oldest_first = a;
     }
-    while (list != NULL) {
-        struct sim_answer *a = list;
+    while (oldest_first != NULL) {
+        struct sim_answer *a = oldest_first;
 
-        list = a->next;
+        oldest_first = a->next;
         if (has_processor(e)) {
-            sim_at(e->s, spent_us(e), answer_arrives, a);
+            sim_schedule(e->s, spent_us(e), deliver_answer, a);
         }
         else {
             sim_answered(e->s, a);
@@ -197,41 +198,42 @@
     }
 }
 
-/* --- requests that others begin --- */
+/* --- forwarding --- */
 
 static void
-begin_job(struct sim_entry *e, struct sim_caller *who)
+submit_job(struct sim_entry *e, struct sim_waiter *waiter)
 {
-    struct co_submit sub = sim_submission(e->s, who->job);
+    struct co_submit sub = sim_submission(e->s, waiter->job);
 
-    spend(e, BEGIN_US);
-    co_submit(&e->c, sim_ms(e->s), &sub, who);
+    use_core_us(e, SUBMIT_COST_US);
+    co_submit(&e->coord, sim_now_ms(e->s), &sub, waiter);
     free((void *)sub.tasks);
 }
 
 static void
-begin_taken(void *ctx, struct rl_taken *t)
+begin_forwarded(void *ctx, struct rl_taken *forwarded)
 {
     struct sim_entry *e = ctx;
-    struct sim_job *j = sim_job_of(e->s, strtoull(t->path, NULL, 10));
-    struct sim_caller *who = new_caller(e, j, t);
+    struct sim_job *j =
+        sim_job_by_id(e->s, strtoull(forwarded->path, NULL, 10));
+    struct sim_waiter *waiter = new_waiter(e, j, forwarded);
 
-    t->data = who;
-    if (!it_add(&e->intake, present_us(e), who)) {
-        rl_reply(t, CO_NOT_RUN, "behind", 1000);
-        free_caller(e, who);
+    forwarded->data = waiter;
+    if (!it_add(&e->intake, loop_time_us(e), waiter)) {
+        rl_reply(forwarded, CO_NOT_RUN, "behind", 1000);
+        free_waiter(e, waiter);
     }
 }
 
 static void
-leave_taken(void *ctx, struct rl_taken *t)
+cancel_forwarded(void *ctx, struct rl_taken *forwarded)
 {
     struct sim_entry *e = ctx;
 
-    if (!it_drop(&e->intake, t->data)) {
-        co_leave(&e->c, sim_ms(e->s), t->data);
+    if (!it_drop(&e->intake, forwarded->data)) {
+        co_leave(&e->coord, sim_now_ms(e->s), forwarded->data);
     }
-    free_caller(e, t->data);
+    free_waiter(e, forwarded->data);
 }
 
 static void
@@ -244,35 +246,35 @@
 }
 
 static const struct rl_ops rl_ops = {
-    entry_send, begin_taken, leave_taken, entry_answer, note_relay};
+    entry_send, begin_forwarded, cancel_forwarded, entry_answer, note_relay};
 
 static bool
-give(struct sim_entry *e, struct sim_caller *who)
+forward(struct sim_entry *e, struct sim_waiter *waiter)
 {
     char path[32];
 
-    snprintf(path, sizeof(path), "%llu", (unsigned long long)who->job->id);
-    if (e->s->d->entries_keep ||
-        !rl_give(&e->relay, sim_ms(e->s), who, STR("host"), str_of(path),
-            STR("body"),
-            (uint32_t)(num_minus(who->job->deadline_us, e->s->now_us) /
+    snprintf(path, sizeof(path), "%llu", (unsigned long long)waiter->job->id);
+    if (e->s->d->no_forwarding ||
+        !rl_give(&e->relay, sim_now_ms(e->s), waiter, STR("host"),
+            str_of(path), STR("body"),
+            (uint32_t)(num_minus(waiter->job->deadline_us, e->s->now_us) /
                        1000))) {
         return false;
     }
-    e->s->out->given++;
+    e->s->result->forwarded++;
     return true;
 }
 
-/* --- passes of its loop --- */
+/* --- event loop --- */
 
 static void
-take_message(struct sim_entry *e, uint64_t from, dw_msg *m)
+handle_message(struct sim_entry *e, uint64_t from, dw_msg *m)
 {
-    uint64_t now = sim_ms(e->s);
+    uint64_t now = sim_now_ms(e->s);
 
-    spend(e, MESSAGE_US);
+    use_core_us(e, RECEIVE_COST_US);
     if (m->type == DW_REPORT) {
-        co_report(&e->c, now, from, &m->dw_msg_u.report);
+        co_report(&e->coord, now, from, &m->dw_msg_u.report);
     }
     else if (m->type == DW_RELAY) {
         rl_take(&e->relay, now, from, &m->dw_msg_u.relay);
@@ -284,95 +286,97 @@
 }
 
 static void
-take_request(struct sim_entry *e, struct sim_job *j)
+handle_request(struct sim_entry *e, struct sim_job *j)
 {
-    struct sim_caller *who;
+    struct sim_waiter *waiter;
 
-    spend(e, REQUEST_US);
+    use_core_us(e, REQUEST_COST_US);
     if (j == NULL) {
-        return; /* its caller has left */
+        return; /* its caller has disconnected */
     }
-    who = new_caller(e, j, NULL);
-    if (lg_gives(&e->lag) && give(e, who)) {
+    waiter = new_waiter(e, j, NULL);
+    if (lg_gives(&e->lag) && forward(e, waiter)) {
         return;
     }
-    if (!it_add(&e->intake, present_us(e), who) && !give(e, who)) {
-        entry_answer(e, who, CO_NOT_RUN, "behind", 1000);
+    if (!it_add(&e->intake, loop_time_us(e), waiter) && !forward(e, waiter)) {
+        entry_answer(e, waiter, CO_NOT_RUN, "behind", 1000);
     }
 }
 
 static void
-take_inputs(struct sim_entry *e, bool requests)
+handle_inputs(struct sim_entry *e, bool requests)
 {
-    struct sim_input **at = &e->inputs;
+    struct sim_input **link = &e->inputs;
 
-    while (*at != NULL) {
-        struct sim_input *in = *at;
+    while (*link != NULL) {
+        struct sim_input *in = *link;
 
         if ((in->msg == NULL) != requests) {
-            at = &in->next;
+            link = &in->next;
             continue;
         }
-        *at = in->next;
+        *link = in->next;
         if (in->msg != NULL) {
-            take_message(e, in->from, in->msg);
+            handle_message(e, in->from, in->msg);
         }
         else {
-            take_request(e, sim_open_try(e->s, in->job, in->try));
+            handle_request(e, sim_job_awaiting(e->s, in->job, in->attempt));
         }
         free(in);
     }
-    e->inputs_tail = at;
+    e->inputs_tail = link;
 }
 
 static void
 tick(struct sim_entry *e)
 {
-    struct rl_state state = {lg_has_time(&e->lag) && !lg_is_out(&e->lag),
+    struct rl_state load = {lg_has_time(&e->lag) && !lg_is_out(&e->lag),
         (uint32_t)(e->lag.busy * 1000), 0};
-    uint64_t now = sim_ms(e->s);
-    double before = e->spent_us;
+    uint64_t now = sim_now_ms(e->s);
+    double spent_before_us = e->spent_us;
 
-    rl_tell(&e->relay, &state);
-    if (!lg_has_time(&e->lag) && !e->s->d->entries_keep) {
+    rl_tell(&e->relay, &load);
+    if (!lg_has_time(&e->lag) && !e->s->d->no_forwarding) {
         rl_need(&e->relay, now);
     }
     rl_tick(&e->relay, now);
-    spend(e, TICK_WORK_US);
-    co_tick(&e->c, now);
-    lg_probe(&e->lag, present_us(e), (uint64_t)(e->spent_us - before), 1);
-    if (gs_keep_due(&e->c.times, now)) {
-        buf_free(&e->s->times[e->index]);
-        gs_save(&e->c.times, &e->s->times[e->index]);
+    use_core_us(e, TICK_COST_US);
+    co_tick(&e->coord, now);
+    lg_probe(&e->lag, loop_time_us(e),
+        (uint64_t)(e->spent_us - spent_before_us), 1);
+    if (gs_keep_due(&e->coord.times, now)) {
+        buf_free(&e->s->saved_estimates[e->index]);
+        gs_save(&e->coord.times, &e->s->saved_estimates[e->index]);
     }
 }
 
 static void
-begin_requests(struct sim_entry *e)
+begin_queued_jobs(struct sim_entry *e)
 {
-    enum it_turn turn;
-    void *who;
+    enum it_turn verdict;
+    void *waiter;
 
     for (;;) {
-        turn = it_next(&e->intake, present_us(e), &who);
-        if (turn == IT_NONE) {
+        verdict = it_next(&e->intake, loop_time_us(e), &waiter);
+        if (verdict == IT_NONE) {
             break;
         }
-        if (turn == IT_REFUSE) {
-            entry_answer(e, who, CO_NOT_RUN, "behind", 1000);
+        if (verdict == IT_REFUSE) {
+            entry_answer(e, waiter, CO_NOT_RUN, "behind", 1000);
         }
         else {
-            begin_job(e, who);
+            submit_job(e, waiter);
         }
     }
 }
 
-/* Messages, timers, requests, placing, answers: the order of the daemon's. */
+/* Messages, timers, queued requests, placing and answers, new requests: in the
+ * order of the daemon. */
 static void
-pass(struct sim *s, void *data)
+loop_pass(struct sim *s, void *data)
 {
-    struct sim_alive *p = data;
-    struct sim_entry *e = sim_entry_of(s, p->id);
+    struct sim_process_ref *p = data;
+    struct sim_entry *e = sim_entry_by_id(s, p->id);
 
     if (e == NULL) {
         free(p);
@@ -380,33 +384,34 @@
     }
     if (e->inputs == NULL && it_count(&e->intake) == 0 &&
         s->now_us < e->tick_us) {
-        e->working = false;
+        e->pass_scheduled = false;
         free(p);
         return;
     }
     e->spent_us = 0;
     lg_pass_begins(&e->lag, s->now_us);
-    spend(e, PASS_US);
-    take_inputs(e, false);
+    use_core_us(e, PASS_COST_US);
+    handle_inputs(e, false);
     if (s->now_us >= e->tick_us) {
         tick(e);
         e->tick_us = s->now_us + SIM_TICK_US;
     }
-    begin_requests(e);
-    e->c.room_pause_ms = lg_pause_ms(&e->lag);
+    begin_queued_jobs(e);
+    e->coord.room_pause_ms = lg_pause_ms(&e->lag);
     flush(e);
-    take_inputs(e, true);
-    lg_pass_ends(&e->lag, present_us(e));
-    s->out->longest_pass_us = num_max(s->out->longest_pass_us, spent_us(e));
-    sim_at(s, num_max(spent_us(e), 1), pass, p);
+    handle_inputs(e, true);
+    lg_pass_ends(&e->lag, loop_time_us(e));
+    s->result->longest_pass_us =
+        num_max(s->result->longest_pass_us, spent_us(e));
+    sim_schedule(s, num_max(spent_us(e), 1), loop_pass, p);
 }
 
 static void
-work(struct sim_entry *e)
+schedule_pass(struct sim_entry *e)
 {
-    if (!e->working) {
-        e->working = true;
-        sim_at(e->s, 0, pass, sim_alive(e->id));
+    if (!e->pass_scheduled) {
+        e->pass_scheduled = true;
+        sim_schedule(e->s, 0, loop_pass, sim_process_ref(e->id));
     }
 }
 
@@ -415,7 +420,7 @@
 {
     *e->inputs_tail = in;
     e->inputs_tail = &in->next;
-    work(e);
+    schedule_pass(e);
 }
 
 void
@@ -424,7 +429,7 @@
     struct sim_input *in;
 
     if (!has_processor(e)) {
-        take_message(e, from, msg);
+        handle_message(e, from, msg);
         flush(e);
         return;
     }
@@ -440,138 +445,140 @@
     struct sim_input *in;
 
     if (!has_processor(e)) {
-        begin_job(e, new_caller(e, j, NULL));
+        submit_job(e, new_waiter(e, j, NULL));
         flush(e);
         return;
     }
     in = dw_zero(1, sizeof(*in));
     in->job = j->id;
-    in->try = j->try;
+    in->attempt = j->attempt;
     add_input(e, in);
 }
 
 void
-sim_entry_left(struct sim_entry *e, struct sim_job *j)
+sim_entry_cancel(struct sim_entry *e, struct sim_job *j)
 {
-    struct sim_caller *who = j->caller;
+    struct sim_waiter *waiter = j->waiter;
 
-    if (who == NULL) {
+    if (waiter == NULL) {
         return; /* not read yet */
     }
-    if (!it_drop(&e->intake, who) && !rl_drop(&e->relay, who)) {
-        co_leave(&e->c, sim_ms(e->s), who);
+    if (!it_drop(&e->intake, waiter) && !rl_drop(&e->relay, waiter)) {
+        co_leave(&e->coord, sim_now_ms(e->s), waiter);
     }
-    free_caller(e, who);
+    free_waiter(e, waiter);
     if (!has_processor(e)) {
         flush(e);
     }
 }
 
-/* --- the balancer --- */
+/* --- balancer --- */
 
 static void
-look(struct sim *s, void *data)
+health_check(struct sim *s, void *data)
 {
-    struct sim_alive *p = data;
-    struct sim_entry *e = sim_entry_of(s, p->id);
+    struct sim_process_ref *p = data;
+    struct sim_entry *e = sim_entry_by_id(s, p->id);
 
     if (e == NULL) {
         free(p);
         return;
     }
-    e->missed_looks =
-        lg_is_out(&e->lag) && !s->d->entries_stay ? e->missed_looks + 1 : 0;
-    sim_at(s, LOOK_US, look, p);
+    e->failed_checks = lg_is_out(&e->lag) && !s->d->always_in_rotation
+                           ? e->failed_checks + 1
+                           : 0;
+    sim_schedule(s, CHECK_INTERVAL_US, health_check, p);
 }
 
 bool
 sim_entry_in_rotation(const struct sim_entry *e)
 {
-    return e->id != 0 && e->missed_looks < LOOKS_TO_LEAVE;
+    return e->id != 0 && e->failed_checks < FAILED_CHECKS_MAX;
 }
 
-/* --- the store --- */
+/* --- store --- */
 
 static void
-tell_withdrawn(struct sim_entry *e)
+read_withdrawn(struct sim_entry *e)
 {
     char names[SIM_DOMAINS_MAX][FL_NAME_MAX];
     const char *list[SIM_DOMAINS_MAX];
-    size_t n = 0;
+    size_t count = 0;
 
-    for (uint32_t i = 0; i < e->s->d->domains; i++) {
+    for (uint32_t i = 0; i < e->s->d->domain_count; i++) {
         if (e->s->withdrawn[i]) {
-            sim_domain_name(names[n], sizeof(names[n]), i);
-            list[n] = names[n];
-            n++;
+            sim_domain_name(names[count], sizeof(names[count]), i);
+            list[count] = names[count];
+            count++;
         }
     }
-    fl_withdraw(&e->c.fleet, list, n);
+    fl_withdraw(&e->coord.fleet, list, count);
 }
 
 static void
-tell_members(struct sim_entry *e)
+read_members(struct sim_entry *e)
 {
     struct fl_agent *a;
     char name[FL_NAME_MAX];
     char domain[FL_NAME_MAX];
 
-    for (a = e->c.fleet.agents; a != NULL; a = a->hh.next) {
+    for (a = e->coord.fleet.agents; a != NULL; a = a->hh.next) {
         a->member = false;
     }
-    for (uint32_t i = 0; i < e->s->d->workers; i++) {
-        if (e->s->entered[i] == 0) {
+    for (uint32_t i = 0; i < e->s->d->worker_count; i++) {
+        if (e->s->registered[i] == 0) {
             continue;
         }
         snprintf(name, sizeof(name), "worker-%u", i);
-        sim_domain_name(domain, sizeof(domain), sim_domain(e->s, i));
-        a = fl_add(&e->c.fleet, e->s->entered[i], name, domain, SIM_SERVICE);
+        sim_domain_name(domain, sizeof(domain), sim_domain_of(e->s, i));
+        a = fl_add(
+            &e->coord.fleet, e->s->registered[i], name, domain, SIM_SERVICE);
         a->member = true;
     }
-    for (uint32_t i = 0; i < e->s->d->entries; i++) {
+    for (uint32_t i = 0; i < e->s->d->entry_count; i++) {
         if (e->s->entries[i].id != 0) {
             rl_entry_in(&e->relay, e->s->entries[i].id);
         }
     }
-    tell_withdrawn(e);
+    read_withdrawn(e);
 }
 
 void
 sim_read_store(struct sim *s, void *data)
 {
-    struct sim_alive *p = data;
-    struct sim_entry *e = sim_entry_of(s, p->id);
+    struct sim_process_ref *p = data;
+    struct sim_entry *e = sim_entry_by_id(s, p->id);
 
     if (e != NULL) {
-        tell_members(e);
-        for (uint32_t i = 0; i < s->d->entries; i++) {
-            gs_load(&e->c.times, buf_str(&s->times[i]));
+        read_members(e);
+        for (uint32_t i = 0; i < s->d->entry_count; i++) {
+            gs_load(&e->coord.times, buf_str(&s->saved_estimates[i]));
         }
         flush(e);
     }
     free(p);
 }
 
-/* --- lives --- */
+/* --- starts and stops --- */
 
 static void
 tick_entry(struct sim *s, void *data)
 {
-    struct sim_alive *p = data;
-    struct sim_entry *e = sim_entry_of(s, p->id);
+    struct sim_process_ref *p = data;
+    struct sim_entry *e = sim_entry_by_id(s, p->id);
 
     if (e == NULL) {
         free(p);
         return;
     }
     if (has_processor(e)) {
-        work(e);
+        schedule_pass(e);
     }
     else {
         tick(e);
         flush(e);
     }
-    sim_at(s, SIM_TICK_US, tick_entry, p);
+    sim_schedule(s, SIM_TICK_US, tick_entry, p);
 }
 
 void
@@ -579,29 +586,31 @@
 {
     char domain[FL_NAME_MAX];
 
-    sim_domain_name(domain, sizeof(domain), sim_domain(s, e->index));
+    sim_domain_name(domain, sizeof(domain), sim_domain_of(s, e->index));
     e->id = sim_new_id(s, e->index | SIM_ENTRY_BIT);
     e->answers = NULL;
     e->inputs = NULL;
     e->inputs_tail = &e->inputs;
-    e->working = false;
+    e->pass_scheduled = false;
     e->tick_us = 0;
-    e->missed_looks = 0;
+    e->failed_checks = 0;
     e->lag = (struct lag){0};
     e->intake = (struct intake){0};
-    co_init(&e->c, &entry_ops, e, gsl_rng_get(s->rng), domain, "10.0.0.1", 1);
+    co_init(
+        &e->coord, &entry_ops, e, gsl_rng_get(s->rng), domain, "10.0.0.1", 1);
     rl_init(&e->relay, &rl_ops, e, e->id);
-    fl_set_rank(&e->c.fleet, e->index / s->d->domains, e->index);
-    sim_at(s, READ_STORE_US, sim_read_store, sim_alive(e->id));
-    sim_at(s, (uint64_t)(sim_chance(s) * SIM_TICK_US), tick_entry,
-        sim_alive(e->id));
+    fl_set_rank(&e->coord.fleet, e->index / s->d->domain_count, e->index);
+    sim_schedule(s, READ_STORE_US, sim_read_store, sim_process_ref(e->id));
+    sim_schedule(s, (uint64_t)(sim_random(s) * SIM_TICK_US), tick_entry,
+        sim_process_ref(e->id));
     if (has_processor(e)) {
-        sim_at(s, (uint64_t)(sim_chance(s) * LOOK_US), look, sim_alive(e->id));
+        sim_schedule(s, (uint64_t)(sim_random(s) * CHECK_INTERVAL_US),
+            health_check, sim_process_ref(e->id));
     }
 }
 
 static void
-drop_inputs(struct sim_entry *e)
+free_inputs(struct sim_entry *e)
 {
     while (e->inputs != NULL) {
         struct sim_input *in = e->inputs;
@@ -613,7 +622,7 @@
 }
 
 void
-sim_entry_end(struct sim *s, struct sim_entry *e)
+sim_entry_stop(struct sim *s, struct sim_entry *e)
 {
     uint64_t id = e->id;
 
@@ -627,14 +636,14 @@
         e->answers = a->next;
         free(a);
     }
-    drop_inputs(e);
+    free_inputs(e);
     it_free(&e->intake);
     rl_free(&e->relay);
-    s->out->runs += e->c.stats.runs;
-    s->out->moved += e->c.stats.moved;
-    co_free(&e->c);
-    while (e->callers != NULL) {
-        free_caller(e, e->callers);
+    s->result->runs += e->coord.stats.runs;
+    s->result->moved += e->coord.stats.moved;
+    co_free(&e->coord);
+    while (e->waiters != NULL) {
+        free_waiter(e, e->waiters);
     }
-    sim_cut(s, id);
+    sim_disconnect_callers(s, id);
 }
--- a/test/sim-test.cc
+++ b/test/sim-test.cc
@@ -1,4 +1,4 @@
-/* Whole days in virtual time, with the deciding modules as they are. */
+/* Complete simulated days; the decision modules are those of the daemon. */
 #include <gtest/gtest.h>
 
 #include <string>
@@ -15,16 +15,17 @@
     Day(uint64_t seed, const sim_ranges &ranges)
     {
         sim_draw(&d, seed, &ranges);
-        sim_play(&d, &r);
+        sim_run_day(&d, &r);
     }
     ~Day()
     {
         sim_result_free(&r);
     }
     std::string
-    broken() const
+    violations() const
     {
-        return r.broken.n > 0 ? std::string(r.broken.p, r.broken.n) : "";
+        return r.violations.n > 0 ? std::string(r.violations.p, r.violations.n)
+                                  : "";
     }
 };
 
@@ -49,47 +50,48 @@
     Day two(7, ranges);
     Day other(8, ranges);
 
-    EXPECT_EQ(one.r.worth, two.r.worth);
+    EXPECT_EQ(one.r.score, two.r.score);
     EXPECT_EQ(one.r.messages, two.r.messages);
     EXPECT_EQ(one.r.runs, two.r.runs);
     EXPECT_NE(one.r.messages, other.r.messages);
 }
 
-/* Each trouble in turn, with others drawn beside it: no worker over its
- * capacity, no task twice at a time, no untrue "not run". */
-TEST(Sim, PromisesHoldUnderEachTrouble)
+/* Each fault in turn, together with drawn ones: no worker over its
+ * capacity, no task twice at a time, no wrong "not run". */
+TEST(Sim, GuaranteesHoldUnderEachFault)
 {
-    for (int kind = 0; kind < SIM_TROUBLE_KINDS; kind++) {
+    for (int kind = 0; kind < SIM_FAULT_KINDS; kind++) {
         sim_ranges ranges = short_days();
 
-        ranges.every[kind] = true;
+        ranges.fault_always[kind] = true;
         for (uint64_t seed = 1; seed <= 3; seed++) {
             Day day(seed, ranges);
 
-            EXPECT_EQ(day.broken(), "")
-                << sim_trouble_names[kind] << " seed " << seed;
-            EXPECT_GT(day.r.whole.in_time, 0u);
+            EXPECT_EQ(day.violations(), "")
+                << sim_fault_names[kind] << " seed " << seed;
+            EXPECT_GT(day.r.total.in_time, 0u);
         }
     }
 }
 
-TEST(Sim, EveryRequestHasAnEnd)
+TEST(Sim, EveryRequestHasAnOutcome)
 {
     sim_ranges ranges = short_days();
 
-    ranges.every[SIM_DARK] = true;
+    ranges.fault_always[SIM_POWER_LOSS] = true;
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Day day(seed, ranges);
-        const sim_sum &w = day.r.whole;
+        const sim_totals &w = day.r.total;
 
-        EXPECT_LE(w.in_time + w.late + w.refused + w.lost, w.asked);
-        EXPECT_GT(w.lost, 0u) << "the dark is felt";
+        EXPECT_LE(w.in_time + w.late + w.refused + w.lost, w.requests);
+        EXPECT_GT(w.lost, 0u) << "a power loss loses requests";
     }
 }
 
 namespace {
 
-/* Small entries of two domains; in the middle of the day one turns slow. */
+/* Entries with little processor time in two domains; one turns slow
+ * in the middle of the day. */
 sim_deployment
 day_of_small_entries(uint64_t seed)
 {
@@ -100,77 +102,77 @@
     ranges.domains_max = 2;
     ranges.entries_min = ranges.entries_max = 2;
     ranges.load_min = ranges.load_max = 0.4;
-    ranges.per_s_max = 500;
-    ranges.cpu_min = ranges.cpu_max = 0.12;
-    ranges.troubles_min = ranges.troubles_max = 0;
-    ranges.every[SIM_ENTRY_SLOW] = true;
+    ranges.requests_per_s_max = 500;
+    ranges.entry_cores_min = ranges.entry_cores_max = 0.12;
+    ranges.faults_min = ranges.faults_max = 0;
+    ranges.fault_always[SIM_ENTRY_SLOW] = true;
     sim_draw(&d, seed, &ranges);
-    /* More than enough workers: only entries are short of anything. */
-    d.per_s = 700;
-    for (uint32_t i = 0; i < d.workers; i++) {
+    /* Ample worker capacity: only the entries are short of processor time. */
+    d.requests_per_s = 700;
+    for (uint32_t i = 0; i < d.worker_count; i++) {
         d.millicores[i] *= 8;
     }
-    d.trouble[0].at_ms = 5000;
-    d.trouble[0].for_ms = 7000;
-    d.trouble[0].x = 6;
+    d.fault[0].start_ms = 5000;
+    d.fault[0].duration_ms = 7000;
+    d.fault[0].factor = 6;
     return d;
 }
 
 uint64_t
 not_in_time(const sim_result &r)
 {
-    return r.whole.late + r.whole.refused + r.whole.lost;
+    return r.total.late + r.total.refused + r.total.lost;
 }
 
 } // namespace
 
-/* Callers of an entry on a slow machine wait until their deadlines while the
- * others have time. */
+/* Guards against callers of an entry on a slow machine waiting until their
+ * deadlines while other entries have processor time left. */
 TEST(Sim, AnEntryThatTurnsSlowCostsItsCallersLittle)
 {
-    uint64_t with = 0;
-    uint64_t without = 0;
-    uint64_t given = 0;
+    uint64_t with_forwarding = 0;
+    uint64_t without_forwarding = 0;
+    uint64_t forwarded = 0;
 
     for (uint64_t seed = 2; seed <= 3; seed++) {
         sim_deployment d = day_of_small_entries(seed);
         sim_result r;
 
-        sim_play(&d, &r);
+        sim_run_day(&d, &r);
         EXPECT_EQ(r.sessions_lost, 0u) << "seed " << seed;
-        EXPECT_EQ(r.broken.n, 0u) << "seed " << seed;
-        with += not_in_time(r);
-        given += r.given;
+        EXPECT_EQ(r.violations.n, 0u) << "seed " << seed;
+        with_forwarding += not_in_time(r);
+        forwarded += r.forwarded;
         sim_result_free(&r);
-        d.entries_keep = d.entries_stay = true;
-        sim_play(&d, &r);
-        without += not_in_time(r);
+        d.no_forwarding = d.always_in_rotation = true;
+        sim_run_day(&d, &r);
+        without_forwarding += not_in_time(r);
         sim_result_free(&r);
     }
-    EXPECT_GT(given, 0u);
-    EXPECT_LT(with, without / 2);
+    EXPECT_GT(forwarded, 0u);
+    EXPECT_LT(with_forwarding, without_forwarding / 2);
 }
 
-/* One pass of the loop takes seconds, sessions end and callers are answered
- * too late, as a single entry reads more than it can do. */
+/* An overloaded entry that reads more requests than it can handle has loop
+ * passes of seconds, loses its sessions and answers its callers too late. */
 TEST(Sim, AnEntryWithHalfOfTheProcessorItNeedsServesWhatItCan)
 {
     for (uint64_t seed = 1; seed <= 4; seed++) {
         sim_deployment d = day_of_small_entries(seed);
         sim_result r;
 
-        d.entries = 1;
-        d.troubles = 0;
-        d.per_s = 150;
-        d.entry_cpu[0] = 0.02;
-        sim_play(&d, &r);
+        d.entry_count = 1;
+        d.fault_count = 0;
+        d.requests_per_s = 150;
+        d.entry_cores[0] = 0.02;
+        sim_run_day(&d, &r);
         EXPECT_EQ(r.sessions_lost, 0u) << "seed " << seed;
         EXPECT_LT(r.longest_pass_us, 1000 * (uint64_t)SESS_LEASE_MS)
             << "seed " << seed;
-        EXPECT_GT(r.whole.in_time + r.whole.late, r.whole.asked / 3)
+        EXPECT_GT(r.total.in_time + r.total.late, r.total.requests / 3)
             << "seed " << seed;
-        EXPECT_EQ(r.held_in_vain, 0u) << "seed " << seed;
-        EXPECT_EQ(r.broken.n, 0u) << "seed " << seed;
+        EXPECT_EQ(r.refused_late, 0u) << "seed " << seed;
+        EXPECT_EQ(r.violations.n, 0u) << "seed " << seed;
         sim_result_free(&r);
     }
 }
