--- a/test/serve-test.cc
+++ b/test/serve-test.cc
@@ -48,7 +48,7 @@
 std::string
 first_broken(const World &w)
 {
-    return w.broken.empty() ? "" : w.broken[0];
+    return w.violations.empty() ? "" : w.violations[0];
 }
 
 struct FaultCase {
@@ -61,11 +61,11 @@
 late_orders(World &w)
 {
     for (auto &f : w.workers) {
-        f->late = 0.08;
+        f->late_order_share = 0.08;
     }
     w.after(6000, [&w] {
         for (auto &f : w.workers) {
-            f->late = 0;
+            f->late_order_share = 0;
         }
     });
 }
@@ -74,11 +74,11 @@
 lost_answers(World &w)
 {
     for (auto &f : w.workers) {
-        f->mute = 0.1;
+        f->lost_answer_share = 0.1;
     }
     w.after(6000, [&w] {
         for (auto &f : w.workers) {
-            f->mute = 0;
+            f->lost_answer_share = 0;
         }
     });
 }
@@ -124,11 +124,11 @@
         World w(seed, ENTRIES, AGENTS);
         uint64_t began = w.now;
 
-        w.give_part = give_part;
+        w.forward_share = give_part;
         traffic(w, 14000);
         w.run(1500 + seed * 13);
         if (give_part > 0) {
-            EXPECT_GT(w.given, 10u);
+            EXPECT_GT(w.forwarded, 10u);
         }
         f.strike(w);
         w.run(8500);
@@ -166,21 +166,23 @@
 const FaultCase relay_faults[] = {
     {"none", [](World &) {}, 1.0},
     {"killed", [](World &w) { w.kill_entry(0, 600); }, 0.85},
-    {"dark", [](World &w) { w.darken_entry(0, 900); }, 0.8},
+    {"dark", [](World &w) { w.power_off_entry(0, 900); }, 0.8},
     {"frozen_briefly", [](World &w) { w.freeze_entry(0, 600); }, 0.85},
     {"frozen_past_a_session", [](World &w) { w.freeze_entry(0, 400); }, 0.85},
     {"frozen_for_long", [](World &w) { w.freeze_entry(0, 3500); }, 0.5},
-    {"giver_cut_off", [](World &w) { w.cut_entries(0, 1, 3000); }, 0.85},
-    {"taker_cut_off", [](World &w) { w.cut_entries(1, 0, 3000); }, 0.85},
+    {"giver_cut_off", [](World &w) { w.drop_entry_messages(0, 1, 3000); },
+        0.85},
+    {"taker_cut_off", [](World &w) { w.drop_entry_messages(1, 0, 3000); },
+        0.85},
     {"cut_near_the_lease",
         [](World &w) {
-            w.cut_entries(0, 1, SESS_LEASE_MS + 5);
-            w.cut_entries(1, 0, SESS_LEASE_MS + 5);
+            w.drop_entry_messages(0, 1, SESS_LEASE_MS + 5);
+            w.drop_entry_messages(1, 0, SESS_LEASE_MS + 5);
         },
         0.85},
     {"dark_while_an_agent_is_cut_off",
         [](World &w) {
-            w.darken_entry(0, 900);
+            w.power_off_entry(0, 900);
             w.after(SESS_LEASE_MS, [&w] { w.cut(1, 0, true, true, 2000); });
         },
         0.75},
@@ -208,7 +210,7 @@
     for (uint64_t seed = 500; seed < 500 + seeds; seed++) {
         World w(seed, 3, AGENTS);
 
-        w.give_part = 0.5;
+        w.forward_share = 0.5;
         traffic(w, 26000);
         for (int k = 0; k < 40; k++) {
             w.run(100 + w.rng() % 800);
@@ -226,13 +228,13 @@
                 w.cut(e, a, w.rng() % 2, w.rng() % 2, w.rng() % 1500);
                 break;
             case 3:
-                w.cut_entries(e, other, w.rng() % 1500);
+                w.drop_entry_messages(e, other, w.rng() % 1500);
                 break;
             case 4:
                 w.kill_entry(e, 300 + w.rng() % 1000);
                 break;
             case 5:
-                w.darken_entry(e, 300 + w.rng() % 1000);
+                w.power_off_entry(e, 300 + w.rng() % 1000);
                 break;
             default:
                 w.kill_agent(a, 300 + w.rng() % 1000);
--- a/test/world.cc
+++ b/test/world.cc
@@ -7,10 +7,10 @@
 
 namespace {
 
-/* ms a call to a worker takes each way, and a message between machines. */
+/* One-way latency of a call to a worker, and of a message between machines. */
 constexpr uint64_t CALL_MS = 1;
 constexpr uint64_t MESSAGE_MS = 1;
-/* ms a caller waits before it sends a broken request to another entry. */
+/* Time until a caller resends a request whose connection broke. */
 constexpr uint64_t RESEND_MS = 1300;
 
 std::string
@@ -19,7 +19,7 @@
     return std::to_string(key.job) + "." + std::to_string(key.index);
 }
 
-/* --- what agents want done --- */
+/* --- callbacks of agents --- */
 
 FakeAgent *
 self(void *ctx)
@@ -27,7 +27,8 @@
     return static_cast<FakeAgent *>(ctx);
 }
 
-/* Give an answer to the agent process that asked, if it still lives. */
+/* Delivers an answer to the agent process that sent the call, if it still
+ * runs. */
 void
 to_agent(FakeAgent *a, uint64_t id, uint64_t ms, std::function<void()> fn)
 {
@@ -39,14 +40,14 @@
 }
 
 void
-do_start(void *ctx, const rn_run *run, const rn_terms *told)
+do_start(void *ctx, const rn_run *run, const rn_terms *lease_terms)
 {
     FakeAgent *a = self(ctx);
     World *w = a->w;
     FakeWorker *f = w->workers[a->index].get();
     rn_key key = run->key;
     uint64_t id = a->id;
-    rn_terms terms = *told;
+    rn_terms terms = *lease_terms;
     uint32_t millicores = run->millicores;
     uint32_t ms = 1;
     auto call = w->calls.find(key.job);
@@ -56,10 +57,11 @@
     }
     auto lost = [a, id, key] {
         to_agent(a, id, RN_ANSWER_MS, [a, key] {
-            rn_started(&a->a.runner, a->w->now, &key, RN_START_LOST, 0);
+            rn_started(
+                &a->agent_state.runner, a->w->now, &key, RN_START_LOST, 0);
         });
     };
-    if (w->chance() < f->late) {
+    if (w->chance() < f->late_order_share) {
         w->after(2000 + w->rng() % 10000, [w, a, key, millicores, ms, terms] {
             rn_start_result r;
             w->worker_start(a->index, key, millicores, ms, terms, &r);
@@ -67,34 +69,34 @@
         lost();
         return;
     }
-    bool mute = w->chance() < f->mute;
+    bool answer_lost = w->chance() < f->lost_answer_share;
     w->after(CALL_MS, [=] {
         rn_start_result result = RN_START_UNREACHED;
 
         if (f->up) {
             w->worker_start(a->index, key, millicores, ms, terms, &result);
         }
-        if (mute) {
+        if (answer_lost) {
             lost();
             return;
         }
         uint64_t clock = f->up ? w->worker_clock(*f) : 0;
         to_agent(a, id, CALL_MS, [a, key, result, clock] {
-            rn_started(&a->a.runner, a->w->now, &key, result, clock);
+            rn_started(&a->agent_state.runner, a->w->now, &key, result, clock);
         });
     });
 }
 
 void
-do_stop(void *ctx, const rn_key *k, const rn_terms *told)
+do_stop(void *ctx, const rn_key *order_key, const rn_terms *lease_terms)
 {
     FakeAgent *a = self(ctx);
     World *w = a->w;
     FakeWorker *f = w->workers[a->index].get();
-    rn_key key = *k;
-    rn_terms terms = *told;
+    rn_key key = *order_key;
+    rn_terms terms = *lease_terms;
     uint64_t id = a->id;
-    bool late = w->chance() < f->late;
+    bool late = w->chance() < f->late_order_share;
 
     w->after(late ? 2000 + w->rng() % 10000 : CALL_MS, [=] {
         bool up = f->up;
@@ -103,30 +105,31 @@
             w->worker_stop(a->index, key, terms);
         }
         to_agent(a, id, CALL_MS, [a, key, up, late] {
-            rn_stopped(&a->a.runner, a->w->now, &key, up && !late);
+            rn_stopped(&a->agent_state.runner, a->w->now, &key, up && !late);
         });
     });
     if (late) {
-        to_agent(a, id, RN_ANSWER_MS,
-            [a, key] { rn_stopped(&a->a.runner, a->w->now, &key, false); });
+        to_agent(a, id, RN_ANSWER_MS, [a, key] {
+            rn_stopped(&a->agent_state.runner, a->w->now, &key, false);
+        });
     }
 }
 
-struct LookCall {
+struct PollCall {
     bool answered = false;
     uint64_t asked;
     bool quick;
 };
 
 void
-answer_look(FakeAgent *a, uint64_t id, std::shared_ptr<LookCall> call)
+answer_poll(FakeAgent *a, uint64_t id, std::shared_ptr<PollCall> call)
 {
     World *w = a->w;
     FakeWorker *f = w->workers[a->index].get();
     auto running = std::make_shared<std::vector<rn_shown>>();
-    auto ends = std::make_shared<std::vector<rn_end>>(f->ends);
+    auto ends = std::make_shared<std::vector<rn_end>>(f->outcomes);
     uint64_t clock = w->worker_clock(*f);
-    uint64_t born = f->born;
+    uint64_t incarnation = f->incarnation;
 
     if (call->answered) {
         return;
@@ -142,18 +145,18 @@
         l.quick = call->quick;
         l.ok = true;
         l.clock_ms = clock;
-        l.born_ms = born;
+        l.born_ms = incarnation;
         l.running = running->data();
         l.running_count = running->size();
         l.ends = ends->data();
         l.end_count = ends->size();
-        rn_looked(&a->a.runner, w->now, &l);
+        rn_looked(&a->agent_state.runner, w->now, &l);
     });
 }
 
 void
-wait_look(
-    FakeAgent *a, uint64_t id, std::shared_ptr<LookCall> call, uint64_t until)
+wait_poll(
+    FakeAgent *a, uint64_t id, std::shared_ptr<PollCall> call, uint64_t until)
 {
     World *w = a->w;
     FakeWorker *f = w->workers[a->index].get();
@@ -161,17 +164,17 @@
     if (!f->up) {
         return;
     }
-    if (!f->ends.empty() || w->now >= until) {
-        answer_look(a, id, call);
+    if (!f->outcomes.empty() || w->now >= until) {
+        answer_poll(a, id, call);
         return;
     }
-    w->after(1, [=] { wait_look(a, id, call, until); });
+    w->after(1, [=] { wait_poll(a, id, call, until); });
 }
 
 void
-do_look(void *ctx, const rn_ask *ask, const rn_terms *told)
+do_poll(void *ctx, const rn_ask *ask, const rn_terms *lease_terms)
 {
-    rn_terms terms = *told;
+    rn_terms terms = *lease_terms;
     uint64_t ack = ask->ack;
     uint32_t wait_ms = ask->wait_ms;
     bool quick = ask->quick;
@@ -179,8 +182,8 @@
     World *w = a->w;
     FakeWorker *f = w->workers[a->index].get();
     uint64_t id = a->id;
-    auto call = std::make_shared<LookCall>();
-    bool lost = w->chance() < f->late + f->mute;
+    auto call = std::make_shared<PollCall>();
+    bool lost = w->chance() < f->late_order_share + f->lost_answer_share;
 
     call->asked = w->now;
     call->quick = quick;
@@ -189,10 +192,10 @@
             return;
         }
         w->renew(*f, terms.until_ms);
-        while (!f->ends.empty() && f->ends.front().number <= ack) {
-            f->ends.erase(f->ends.begin());
+        while (!f->outcomes.empty() && f->outcomes.front().number <= ack) {
+            f->outcomes.erase(f->outcomes.begin());
         }
-        wait_look(a, id, call, w->now + wait_ms);
+        wait_poll(a, id, call, w->now + wait_ms);
     });
     w->after(wait_ms + RN_LOOK_MARGIN_MS, [=] {
         if (call->answered) {
@@ -208,7 +211,7 @@
             l.asked_ms = call->asked;
             l.quick = quick;
             l.unreached = !f->up;
-            rn_looked(&a->a.runner, w->now, &l);
+            rn_looked(&a->agent_state.runner, w->now, &l);
         });
     });
 }
@@ -227,7 +230,7 @@
 }
 
 void
-agent_note_end(void *ctx, const rn_run *r, dw_end how, uint32_t)
+agent_note_outcome(void *ctx, const rn_run *r, dw_end how, uint32_t)
 {
     FakeAgent *a = self(ctx);
 
@@ -244,10 +247,10 @@
         "agent %zu: entry %lu %s, silent %lu", a->index, entry, what, ms);
 }
 
-const ag_ops agent_ops = {{do_start, do_stop, do_look, nullptr}, agent_send,
-    agent_reconnect, agent_note_end, agent_note_session};
+const ag_ops agent_ops = {{do_start, do_stop, do_poll, nullptr}, agent_send,
+    agent_reconnect, agent_note_outcome, agent_note_session};
 
-/* --- what entries want done --- */
+/* --- callbacks of entries --- */
 
 void
 entry_send(void *ctx, uint64_t to, const dw_msg *m)
@@ -261,40 +264,40 @@
 entry_answer(void *ctx, void *handle, co_outcome how, const char *, uint32_t)
 {
     FakeEntry *e = static_cast<FakeEntry *>(ctx);
-    FakeCaller *who = static_cast<FakeCaller *>(handle);
-    Call *c = who->call;
+    FakeWaiter *waiter = static_cast<FakeWaiter *>(handle);
+    Call *c = waiter->call;
     uint64_t id = e->id;
 
-    if (who->taken != nullptr) {
-        rl_reply(who->taken, how, "", 0);
+    if (waiter->forwarded != nullptr) {
+        rl_reply(waiter->forwarded, how, "", 0);
     }
     else {
-        c->caller = nullptr;
+        c->waiter = nullptr;
         e->answers.push_back([e, c, id, how] { e->w->answered(c, id, how); });
     }
 }
 
-/* --- requests given to other entries --- */
+/* --- forwarded requests --- */
 
 void
-relay_begin(void *ctx, rl_taken *t)
+begin_forwarded(void *ctx, rl_taken *forwarded)
 {
     FakeEntry *e = static_cast<FakeEntry *>(ctx);
-    Call *c = e->w->calls.at(strtoull(t->path, nullptr, 10)).get();
-    FakeCaller *who = e->w->new_caller(c, t);
+    Call *c = e->w->calls.at(strtoull(forwarded->path, nullptr, 10)).get();
+    FakeWaiter *waiter = e->w->new_waiter(c, forwarded);
 
-    t->data = who;
-    e->w->given++;
-    e->w->submit_at(e, c, who);
+    forwarded->data = waiter;
+    e->w->forwarded++;
+    e->w->submit_at(e, c, waiter);
 }
 
 void
-relay_leave(void *ctx, rl_taken *t)
+cancel_forwarded(void *ctx, rl_taken *forwarded)
 {
     FakeEntry *e = static_cast<FakeEntry *>(ctx);
-    FakeCaller *who = static_cast<FakeCaller *>(t->data);
+    FakeWaiter *waiter = static_cast<FakeWaiter *>(forwarded->data);
 
-    co_leave(&e->c, e->w->now, who);
+    co_leave(&e->coord_state, e->w->now, waiter);
 }
 
 void
@@ -306,7 +309,7 @@
 }
 
 const rl_ops relay_ops = {
-    entry_send, relay_begin, relay_leave, entry_answer, relay_note};
+    entry_send, begin_forwarded, cancel_forwarded, entry_answer, relay_note};
 
 void
 entry_note(void *, const co_job *, const char *)
@@ -340,7 +343,7 @@
 {
     for (size_t i = 0; i < agent_count; i++) {
         workers.push_back(std::make_unique<FakeWorker>());
-        workers[i]->born = now;
+        workers[i]->incarnation = now;
         workers[i]->started_at = now;
         agents.push_back(std::make_unique<FakeAgent>());
         agents[i]->w = this;
@@ -362,13 +365,13 @@
 {
     for (auto &a : agents) {
         if (a->up) {
-            ag_free(&a->a);
+            ag_free(&a->agent_state);
         }
     }
     for (auto &e : entries) {
         if (e->up) {
-            co_free(&e->c);
-            rl_free(&e->r);
+            co_free(&e->coord_state);
+            rl_free(&e->relay_state);
         }
     }
 }
@@ -397,10 +400,10 @@
 void
 World::after(uint64_t ms, std::function<void()> fn)
 {
-    events.push({now + ms, order++, std::move(fn)});
+    events.push({now + ms, next_sequence++, std::move(fn)});
 }
 
-/* A frozen process handles what came meanwhile when it wakes. */
+/* Events of a frozen process wait until it continues. */
 void
 World::on_agent(FakeAgent *a, std::function<void()> fn)
 {
@@ -409,7 +412,7 @@
         return;
     }
     fn();
-    ag_flush(&a->a, now);
+    ag_flush(&a->agent_state, now);
 }
 
 void
@@ -420,12 +423,12 @@
         return;
     }
     fn();
-    co_flush(&e->c, now);
-    rl_flush(&e->r, now);
+    co_flush(&e->coord_state, now);
+    rl_flush(&e->relay_state, now);
     auto answers = std::move(e->answers);
     e->answers.clear();
-    for (auto &give : answers) {
-        give();
+    for (auto &deliver_answer : answers) {
+        deliver_answer();
     }
 }
 
@@ -438,17 +441,18 @@
     a->up = true;
     a->frozen_until = 0;
     a->unread.clear();
-    ag_init(&a->a, now, &agent_ops, a);
-    rn_room(&a->a.runner, now, workers[i]->millicores, 1000000, 0,
-        workers[i]->born);
+    ag_init(&a->agent_state, now, &agent_ops, a);
+    rn_room(&a->agent_state.runner, now, workers[i]->millicores, 1000000, 0,
+        workers[i]->incarnation);
     for (auto &e : entries) {
         if (e->up) {
-            fl_add(&e->c.fleet, a->id, "agent", "domain", "s")->member = true;
+            fl_add(&e->coord_state.fleet, a->id, "agent", "domain", "s")
+                ->member = true;
         }
     }
     uint64_t id = a->id;
     after(1, [this, a, id] { tick_agent(a, id); });
-    after(5, [this, a, id] { beat_agent(a, id); });
+    after(5, [this, a, id] { worker_heartbeat(a, id); });
 }
 
 void
@@ -458,29 +462,30 @@
         return;
     }
     if (now >= a->frozen_until) {
-        ag_tick(&a->a, now);
-        ag_flush(&a->a, now);
+        ag_tick(&a->agent_state, now);
+        ag_flush(&a->agent_state, now);
     }
     after(20, [this, a, id] { tick_agent(a, id); });
 }
 
-/* Silent givers first: what they gave must not be placed again. */
+/* The relay first: requests of silent origin entries must be dropped before
+ * coord places their tasks again. */
 void
 World::tick_both(FakeEntry *e)
 {
-    rl_state state = {true, 0, 1};
+    rl_state load = {true, 0, 1};
 
-    rl_tell(&e->r, &state);
-    if (give_part > 0) {
-        rl_need(&e->r, now);
+    rl_tell(&e->relay_state, &load);
+    if (forward_share > 0) {
+        rl_need(&e->relay_state, now);
     }
-    rl_tick(&e->r, now);
-    co_tick(&e->c, now);
+    rl_tick(&e->relay_state, now);
+    co_tick(&e->coord_state, now);
 }
 
 /* The worker reports every 1.5 s. */
 void
-World::beat_agent(FakeAgent *a, uint64_t id)
+World::worker_heartbeat(FakeAgent *a, uint64_t id)
 {
     FakeWorker *w = workers[a->index].get();
 
@@ -489,10 +494,11 @@
     }
     if (w->up) {
         on_agent(a, [this, a, w] {
-            rn_room(&a->a.runner, now, w->millicores, 1000000, 0, w->born);
+            rn_room(&a->agent_state.runner, now, w->millicores, 1000000, 0,
+                w->incarnation);
         });
     }
-    after(1500, [this, a, id] { beat_agent(a, id); });
+    after(1500, [this, a, id] { worker_heartbeat(a, id); });
 }
 
 void
@@ -504,17 +510,18 @@
     e->up = true;
     e->frozen_until = 0;
     e->unread.clear();
-    co_init(&e->c, &entry_ops, e, rng(), "d0", "10.0.0.1", 1);
-    rl_init(&e->r, &relay_ops, e, e->id);
+    co_init(&e->coord_state, &entry_ops, e, rng(), "d0", "10.0.0.1", 1);
+    rl_init(&e->relay_state, &relay_ops, e, e->id);
     for (auto &other : entries) {
         if (other->up && other->id != e->id) {
-            rl_entry_in(&e->r, other->id);
-            rl_entry_in(&other->r, e->id);
+            rl_entry_in(&e->relay_state, other->id);
+            rl_entry_in(&other->relay_state, e->id);
         }
     }
     for (auto &a : agents) {
         if (a->up) {
-            fl_add(&e->c.fleet, a->id, "agent", "domain", "s")->member = true;
+            fl_add(&e->coord_state.fleet, a->id, "agent", "domain", "s")
+                ->member = true;
         }
     }
     uint64_t id = e->id;
@@ -539,7 +546,7 @@
 World::deliver(uint64_t from, uint64_t to, const dw_msg *m)
 {
     messages++;
-    if (cuts.count({from, to}) != 0) {
+    if (dropped_links.count({from, to}) != 0) {
         return;
     }
     std::shared_ptr<dw_msg> copy(msg_clone(m), msg_free);
@@ -548,17 +555,19 @@
             FakeEntry *p = e.get();
             if (p->up && p->id == to && copy->type == DW_REPORT) {
                 on_entry(p, [this, p, from, copy] {
-                    co_report(&p->c, now, from, &copy->dw_msg_u.report);
+                    co_report(
+                        &p->coord_state, now, from, &copy->dw_msg_u.report);
                 });
             }
             else if (p->up && p->id == to && copy->type == DW_RELAY) {
                 on_entry(p, [this, p, from, copy] {
-                    rl_take(&p->r, now, from, &copy->dw_msg_u.relay);
+                    rl_take(&p->relay_state, now, from, &copy->dw_msg_u.relay);
                 });
             }
             else if (p->up && p->id == to && copy->type == DW_RELAYED) {
                 on_entry(p, [this, p, from, copy] {
-                    rl_replies(&p->r, now, from, &copy->dw_msg_u.relayed);
+                    rl_replies(
+                        &p->relay_state, now, from, &copy->dw_msg_u.relayed);
                 });
             }
         }
@@ -566,7 +575,8 @@
             FakeAgent *p = a.get();
             if (p->up && p->id == to && copy->type == DW_ORDERS) {
                 on_agent(p, [this, p, from, copy] {
-                    ag_orders(&p->a, now, from, &copy->dw_msg_u.orders);
+                    ag_orders(
+                        &p->agent_state, now, from, &copy->dw_msg_u.orders);
                 });
             }
         }
@@ -584,25 +594,26 @@
     trace("cut entry %zu agent %zu: %d %d for %lu", entry, agent, to_agent,
         to_entry, for_ms);
     if (to_agent) {
-        cuts.insert(there);
+        dropped_links.insert(there);
     }
     if (to_entry) {
-        cuts.insert(back);
+        dropped_links.insert(back);
     }
     after(for_ms, [this, there, back] {
-        cuts.erase(there);
-        cuts.erase(back);
+        dropped_links.erase(there);
+        dropped_links.erase(back);
     });
 }
 
 void
-World::cut_entries(size_t from, size_t to, uint64_t for_ms)
+World::drop_entry_messages(size_t from, size_t to, uint64_t for_ms)
 {
-    std::pair<uint64_t, uint64_t> way = {entries[from]->id, entries[to]->id};
+    std::pair<uint64_t, uint64_t> connection = {
+        entries[from]->id, entries[to]->id};
 
     trace("cut entry %zu to entry %zu for %lu", from, to, for_ms);
-    cuts.insert(way);
-    after(for_ms, [this, way] { cuts.erase(way); });
+    dropped_links.insert(connection);
+    after(for_ms, [this, connection] { dropped_links.erase(connection); });
 }
 
 /* --- processes --- */
@@ -618,18 +629,18 @@
         return;
     }
     a->up = false;
-    ag_free(&a->a);
+    ag_free(&a->agent_state);
     for (auto &p : entries) {
         FakeEntry *e = p.get();
         uint64_t entry_id = e->id;
         after(MESSAGE_MS, [this, e, entry_id, id] {
             if (e->up && e->id == entry_id) {
                 on_entry(e, [this, e, id] {
-                    fl_agent *f = fl_find(&e->c.fleet, id);
+                    fl_agent *f = fl_find(&e->coord_state.fleet, id);
                     if (f != nullptr) {
                         f->member = false;
                     }
-                    co_refused(&e->c, now, id);
+                    co_refused(&e->coord_state, now, id);
                 });
             }
         });
@@ -641,18 +652,18 @@
 World::kill_entry(size_t i, uint64_t for_ms)
 {
     trace("kill_entry %zu for %lu", i, for_ms);
-    end_entry(i, for_ms, false);
+    stop_entry(i, for_ms, false);
 }
 
 void
-World::darken_entry(size_t i, uint64_t for_ms)
+World::power_off_entry(size_t i, uint64_t for_ms)
 {
-    trace("darken_entry %zu for %lu", i, for_ms);
-    end_entry(i, for_ms, true);
+    trace("power_off_entry %zu for %lu", i, for_ms);
+    stop_entry(i, for_ms, true);
 }
 
 void
-World::end_entry(size_t i, uint64_t for_ms, bool dark)
+World::stop_entry(size_t i, uint64_t for_ms, bool power_loss)
 {
     FakeEntry *e = entries[i].get();
     uint64_t id = e->id;
@@ -662,13 +673,13 @@
     }
     e->up = false;
     e->answers.clear();
-    co_free(&e->c);
-    rl_free(&e->r);
+    co_free(&e->coord_state);
+    rl_free(&e->relay_state);
     for (auto &c : calls) {
         Call *call = c.second.get();
-        if (call->open && call->entry_id == id) {
-            call->open = false;
-            call->caller = nullptr;
+        if (call->awaiting_answer && call->entry_id == id) {
+            call->awaiting_answer = false;
+            call->waiter = nullptr;
             if (now + RESEND_MS < call->deadline) {
                 after(RESEND_MS, [this, call] { send_call(call); });
             }
@@ -677,19 +688,21 @@
     for (auto &p : agents) {
         FakeAgent *a = p.get();
         uint64_t agent_id = a->id;
-        after(MESSAGE_MS, [this, a, agent_id, id, dark] {
-            if (!dark && a->up && a->id == agent_id) {
-                on_agent(a, [this, a, id] { ag_refused(&a->a, now, id); });
+        after(MESSAGE_MS, [this, a, agent_id, id, power_loss] {
+            if (!power_loss && a->up && a->id == agent_id) {
+                on_agent(a,
+                    [this, a, id] { ag_refused(&a->agent_state, now, id); });
             }
         });
     }
     for (auto &p : entries) {
         FakeEntry *other = p.get();
         uint64_t other_id = other->id;
-        after(MESSAGE_MS, [this, other, other_id, id, dark] {
-            if (!dark && other->up && other->id == other_id) {
-                on_entry(other,
-                    [this, other, id] { rl_refused(&other->r, now, id); });
+        after(MESSAGE_MS, [this, other, other_id, id, power_loss] {
+            if (!power_loss && other->up && other->id == other_id) {
+                on_entry(other, [this, other, id] {
+                    rl_refused(&other->relay_state, now, id);
+                });
             }
         });
     }
@@ -712,13 +725,13 @@
             return;
         }
         a->frozen_until = 0;
-        ag_tick(&a->a, now);
+        ag_tick(&a->agent_state, now);
         auto unread = std::move(a->unread);
         a->unread.clear();
         for (auto &fn : unread) {
             fn();
         }
-        ag_flush(&a->a, now);
+        ag_flush(&a->agent_state, now);
     });
 }
 
@@ -766,15 +779,15 @@
     }
     w->up = false;
     w->runs.clear();
-    w->highest.clear();
-    w->ends.clear();
-    w->until = 0;
+    w->highest_run.clear();
+    w->outcomes.clear();
+    w->lease_until = 0;
     w->fence = 0;
     after(for_ms, [this, w] {
         w->up = true;
-        w->born = now;
+        w->incarnation = now;
         w->started_at = now;
-        w->next_end = 1;
+        w->next_outcome = 1;
     });
 }
 
@@ -783,12 +796,13 @@
 {
     FakeAgent *a = agents[i].get();
 
-    on_agent(
-        a, [this, a] { rn_draining(&a->a.runner, now, true, true, 2000); });
+    on_agent(a, [this, a] {
+        rn_draining(&a->agent_state.runner, now, true, true, 2000);
+    });
     after(2300, [this, i] { crash_worker(i, 3000); });
 }
 
-/* Remembers the highest fence; true if this one is lower. */
+/* Remembers the highest fencing number; true if this one is lower. */
 bool
 World::fenced(FakeWorker &w, uint64_t fence)
 {
@@ -796,11 +810,12 @@
     return fence < w.fence;
 }
 
-/* A lease is cut to a second. */
+/* Leases are cut to a second. */
 void
 World::renew(FakeWorker &w, uint64_t until)
 {
-    w.until = std::max(w.until, std::min(until, worker_clock(w) + 1000));
+    w.lease_until =
+        std::max(w.lease_until, std::min(until, worker_clock(w) + 1000));
 }
 
 void
@@ -811,24 +826,24 @@
 
     trace("worker: task %s run %lu ended %d", task.c_str(),
         it->second.first.run, how);
-    end.number = w.next_end++;
+    end.number = w.next_outcome++;
     end.key = it->second.first;
     end.how = how;
-    w.highest[task] = end.key.run;
-    w.ends.push_back(end);
+    w.highest_run[task] = end.key.run;
+    w.outcomes.push_back(end);
     w.runs.erase(it);
 }
 
 void
 World::worker_tick(FakeWorker &w)
 {
-    bool lapsed = !w.runs.empty() && worker_clock(w) > w.until;
+    bool lease_expired = !w.runs.empty() && worker_clock(w) > w.lease_until;
 
     for (auto it = w.runs.begin(); it != w.runs.end();) {
         auto next = std::next(it);
         const FakeWorker::Run &r = it->second.second;
 
-        if (lapsed) {
+        if (lease_expired) {
             end_run(w, it->first, DW_END_LOST);
         }
         else if (now >= r.ends_at) {
@@ -847,7 +862,7 @@
 {
     FakeWorker &w = *workers[i];
     std::string task = task_of(key);
-    uint32_t used = millicores;
+    uint32_t used_millicores = millicores;
 
     *result = RN_START_REFUSED;
     if (!w.up) {
@@ -859,27 +874,28 @@
         return false;
     }
     if (terms.until_ms < worker_clock(w)) {
-        return false; /* late */
+        return false; /* the lease of the order has expired */
     }
     if (w.runs.count(task) != 0) {
         *result =
             w.runs[task].first.run == key.run ? RN_START_OK : RN_START_REFUSED;
         return false;
     }
-    if (w.highest.count(task) != 0 && key.run <= w.highest[task]) {
-        return false; /* old */
+    if (w.highest_run.count(task) != 0 && key.run <= w.highest_run[task]) {
+        return false; /* a later run has ended or was stopped */
     }
     for (auto &r : w.runs) {
-        used += r.second.second.millicores;
+        used_millicores += r.second.second.millicores;
     }
-    if (used > w.millicores) {
-        broken.push_back("worker " + std::to_string(i) +
-                         " over its capacity at " + std::to_string(now) +
-                         " by " + task + " run " + std::to_string(key.run));
+    if (used_millicores > w.millicores) {
+        violations.push_back("worker " + std::to_string(i) +
+                             " over its capacity at " + std::to_string(now) +
+                             " by " + task + " run " +
+                             std::to_string(key.run));
     }
     for (size_t k = 0; k < workers.size(); k++) {
         if (k != i && workers[k]->up && workers[k]->runs.count(task) != 0) {
-            broken.push_back(
+            violations.push_back(
                 "task " + task + " runs twice at " + std::to_string(now) +
                 ": on " + std::to_string(k) + " run " +
                 std::to_string(workers[k]->runs[task].first.run) + " and on " +
@@ -887,12 +903,12 @@
         }
     }
     renew(w, terms.until_ms);
-    w.runs[task] = {
-        key, {millicores, w.hangs ? UINT64_MAX : now + (uint64_t)(ms * w.slow),
-                 w.fails_all, false}};
+    w.runs[task] = {key,
+        {millicores, w.hangs ? UINT64_MAX : now + (uint64_t)(ms * w.slowdown),
+            w.fails_all, false}};
     starts++;
     trace("worker %zu: task %s run %lu starts until %lu clock %lu", i,
-        task.c_str(), key.run, w.until, worker_clock(w));
+        task.c_str(), key.run, w.lease_until, worker_clock(w));
     auto call = calls.find(key.job);
     if (call != calls.end()) {
         call->second->started = true;
@@ -911,7 +927,7 @@
     if (fenced(w, terms.fence)) {
         return;
     }
-    w.highest[task] = std::max(w.highest[task], key.run);
+    w.highest_run[task] = std::max(w.highest_run[task], key.run);
     if (it != w.runs.end() && it->second.first.run <= key.run &&
         !it->second.second.stopping) {
         it->second.second.stopping = true;
@@ -947,7 +963,7 @@
     c->sends++;
     c->entry = i;
     c->entry_id = e->id;
-    c->open = e->up;
+    c->awaiting_answer = e->up;
     if (!e->up) {
         return;
     }
@@ -956,50 +972,51 @@
         if (!e->up || e->id != id) {
             return;
         }
-        trace("entry %zu (%lu): job %lu comes, send %u", e->index, e->id,
+        trace("entry %zu (%lu): job %lu arrives, send %u", e->index, e->id,
             c->id, c->sends);
         on_entry(e, [this, e, c] {
             if (now >= c->deadline) {
                 return;
             }
-            c->caller = new_caller(c, nullptr);
+            c->waiter = new_waiter(c, nullptr);
             std::string path = std::to_string(c->id);
-            if (give_part > 0 && chance() < give_part &&
-                rl_give(&e->r, now, c->caller, STR("host"),
+            if (forward_share > 0 && chance() < forward_share &&
+                rl_give(&e->relay_state, now, c->waiter, STR("host"),
                     str_make(path.data(), path.size()), STR("body"),
                     (uint32_t)(c->deadline - now))) {
                 return;
             }
-            submit_at(e, c, c->caller);
+            submit_at(e, c, c->waiter);
         });
     });
     /* The caller leaves at its deadline. */
     after(c->deadline - now, [this, e, c, id] {
-        if (!c->open || c->entry_id != id) {
+        if (!c->awaiting_answer || c->entry_id != id) {
             return;
         }
-        c->open = false;
+        c->awaiting_answer = false;
         if (e->up && e->id == id) {
             on_entry(e, [this, e, c] {
-                if (c->caller != nullptr && !rl_drop(&e->r, c->caller)) {
-                    co_leave(&e->c, now, c->caller);
+                if (c->waiter != nullptr &&
+                    !rl_drop(&e->relay_state, c->waiter)) {
+                    co_leave(&e->coord_state, now, c->waiter);
                 }
-                c->caller = nullptr;
+                c->waiter = nullptr;
             });
         }
     });
 }
 
-/* Kept to the end, as entries die with what waits in them. */
-FakeCaller *
-World::new_caller(Call *c, rl_taken *t)
+/* Freed with the world: an entry that dies does not free its waiters. */
+FakeWaiter *
+World::new_waiter(Call *c, rl_taken *forwarded)
 {
-    callers.push_back(std::make_unique<FakeCaller>(FakeCaller{c, t}));
-    return callers.back().get();
+    waiters.push_back(std::make_unique<FakeWaiter>(FakeWaiter{c, forwarded}));
+    return waiters.back().get();
 }
 
 void
-World::submit_at(FakeEntry *e, Call *c, FakeCaller *who)
+World::submit_at(FakeEntry *e, Call *c, FakeWaiter *waiter)
 {
     std::vector<co_task_spec> specs(
         c->task_ms.size(), {6000, 64, 0, c->task_ms[0]});
@@ -1015,17 +1032,17 @@
     s.left_ms = (uint32_t)(c->deadline - now);
     s.tasks = specs.data();
     s.count = specs.size();
-    co_submit(&e->c, now, &s, who);
+    co_submit(&e->coord_state, now, &s, waiter);
 }
 
 void
 World::answered(Call *c, uint64_t entry_id, co_outcome how)
 {
     trace("entry %zu: job %lu answered %d", c->entry, c->id, how);
-    if (!c->open || c->entry_id != entry_id) {
+    if (!c->awaiting_answer || c->entry_id != entry_id) {
         return;
     }
-    c->open = false;
+    c->awaiting_answer = false;
     if (how == CO_GAVE_UP && now + RESEND_MS < c->deadline) {
         after(RESEND_MS, [this, c] { send_call(c); });
         return;
@@ -1035,8 +1052,8 @@
     c->completed = how == CO_COMPLETED;
     c->refused = how == CO_NOT_RUN;
     if (how == CO_NOT_RUN && c->started && c->sends == 1) {
-        broken.push_back(
-            "job " + std::to_string(c->id) + " is said not to have run");
+        violations.push_back("job " + std::to_string(c->id) +
+                             " is reported as not run, but was started");
     }
 }
 
--- a/test/world.hh
+++ b/test/world.hh
@@ -1,10 +1,12 @@
 /*
- * world - entries, agents and workers of the platform's path in one process
+ * world - a test cluster of entries, agents and workers in one process
  *
- * The deciding code is the product's own; the network, the workers and the
- * callers are small fakes that follow one random seed.  The world checks at
- * each start that no worker is given more than it holds and that no task runs
- * twice at a time, and at each answer that it is true.
+ * The decision modules are those of the daemon; the network, the workers and
+ * the callers are small fakes driven by one random seed.  Times are in ms.
+ *
+ * At each start, the world checks that no worker gets more than its capacity
+ * and that no task runs twice at a time; at each answer of "not run", that no
+ * task was started.
  */
 #ifndef WORLD_HH
 #define WORLD_HH
@@ -23,80 +25,87 @@
 #include "coord.h"
 #include "relay.h"
 
-/* What a worker is told by its agent, and does. */
+/* A worker: carries out the orders of its agent. */
 struct FakeWorker {
     struct Run {
         uint32_t millicores;
-        uint64_t ends_at;
+        uint64_t ends_at; /* UINT64_MAX: hangs */
         bool fails;
         bool stopping;
     };
     uint32_t millicores = 64000;
-    uint64_t born = 0;
+    uint64_t incarnation = 0; /* time of the last start */
     uint64_t started_at = 0;
     bool up = true;
-    uint64_t until = 0;
-    uint64_t fence = 0;
-    uint64_t next_end = 1;
+    uint64_t lease_until = 0; /* in the worker's clock */
+    uint64_t fence = 0;       /* highest fencing number seen */
+    uint64_t next_outcome = 1;
     std::map<std::string, std::pair<rn_key, Run>> runs; /* by task */
-    std::map<std::string, uint64_t> highest; /* run stopped or ended */
-    std::vector<rn_end> ends;
+    /* Highest run that ended or was stopped, by task. */
+    std::map<std::string, uint64_t> highest_run;
+    std::vector<rn_end> outcomes; /* not acknowledged yet */
     /* Faults. */
-    double late = 0; /* share of orders carried out seconds later */
-    double mute = 0; /* share carried out at once, the answer lost */
-    double slow = 1; /* times as long */
+    /* Share of orders that are carried out seconds late. */
+    double late_order_share = 0;
+    /* Share of orders that are carried out at once, but their answer is lost.
+     */
+    double lost_answer_share = 0;
+    double slowdown = 1; /* tasks take this many times as long */
     bool fails_all = false;
     bool hangs = false;
 };
 
 struct World;
 
+/* An agent process.  Each restart gives it a new id; while it is frozen, its
+ * events wait in unread. */
 struct FakeAgent {
     World *w = nullptr;
     size_t index = 0;
     uint64_t id = 0;
     bool up = false;
     uint64_t frozen_until = 0;
-    agent a;
-    uint64_t look_call = 0;
+    agent agent_state;
+    uint64_t poll_call = 0;
     std::vector<std::function<void()>> unread;
 };
 
+/* An entry process; see FakeAgent. */
 struct FakeEntry {
     World *w = nullptr;
     size_t index = 0;
     uint64_t id = 0;
     bool up = false;
     uint64_t frozen_until = 0;
-    coord c;
-    relay r;
+    coord coord_state;
+    relay relay_state;
     std::vector<std::function<void()>> unread;
     std::vector<std::function<void()>> answers;
 };
 
 struct Call;
 
-/* Who waits for a job: a caller here, or another entry for one there. */
-struct FakeCaller {
+/* Waits for a job: a caller, or the origin entry of a forwarded request. */
+struct FakeWaiter {
     Call *call;
-    rl_taken *taken;
+    rl_taken *forwarded; /* null: a caller */
 };
 
-/* One call of a caller: it may be sent again elsewhere. */
+/* A request of a caller, which may resend it to another entry. */
 struct Call {
     uint64_t id;
-    std::vector<uint32_t> task_ms;
+    std::vector<uint32_t> task_ms; /* run time of each task */
     uint64_t sent_at;
     uint64_t deadline;
-    size_t entry;
-    uint64_t entry_id;
-    FakeCaller *caller = nullptr; /* at that entry */
-    bool open = false;
+    size_t entry;      /* index of the entry that got the last send */
+    uint64_t entry_id; /* its process */
+    FakeWaiter *waiter = nullptr; /* at that entry */
+    bool awaiting_answer = false; /* to the last send */
     uint32_t sends = 0;
     uint32_t answers = 0;
     bool done = false;
     bool completed = false;
-    bool started = false; /* a task of it ran */
+    bool started = false; /* a task has been started */
     bool refused = false;
 };
 
@@ -104,41 +113,49 @@
     explicit World(uint64_t seed, size_t entries, size_t agents);
     ~World();
 
-    /* Faults; times in ms from now. */
+    /* Faults.  A killed process is restarted after for_ms. */
     void kill_agent(size_t i, uint64_t for_ms);
     void kill_entry(size_t i, uint64_t for_ms);
     void freeze_agent(size_t i, uint64_t for_ms);
     void freeze_entry(size_t i, uint64_t for_ms);
+    /* Drops the messages between two processes, in the given directions. */
     void cut(size_t entry, size_t agent, bool to_agent, bool to_entry,
         uint64_t for_ms);
-    /* Between two entries. */
-    void cut_entries(size_t from, size_t to, uint64_t for_ms);
-    /* The machine has no power: nobody is told by its port. */
-    void darken_entry(size_t i, uint64_t for_ms);
+    /* Drops the messages from one entry to another. */
+    void drop_entry_messages(size_t from, size_t to, uint64_t for_ms);
+    /* The machine loses power: unlike after a kill, no connection to it is
+     * refused, so that peers have to notice its silence. */
+    void power_off_entry(size_t i, uint64_t for_ms);
     void crash_worker(size_t i, uint64_t for_ms);
+    /* A planned stop: the worker drains, then restarts. */
     void drain_worker(size_t i);
 
+    /* A new request of so many tasks of ms each, half to one and a half. */
     void submit(uint32_t tasks, uint32_t ms);
+    /* Runs fn in ms from now. */
     void after(uint64_t ms, std::function<void()> fn);
+    /* Advances the time. */
     void run(uint64_t ms);
+    /* Uniformly distributed in [0, 1). */
     double chance();
     /* Prints if DW_TRACE is set. */
     void trace(const char *fmt, ...) __attribute__((format(printf, 2, 3)));
 
-    double give_part = 0; /* of the requests that an entry gives to another */
+    /* Share of requests that an entry forwards to another. */
+    double forward_share = 0;
 
     uint64_t now = 1000;
     std::vector<std::unique_ptr<FakeWorker>> workers;
     std::vector<std::unique_ptr<FakeAgent>> agents;
     std::vector<std::unique_ptr<FakeEntry>> entries;
-    std::vector<std::unique_ptr<FakeCaller>> callers;
+    std::vector<std::unique_ptr<FakeWaiter>> waiters;
     std::map<uint64_t, std::unique_ptr<Call>> calls;
-    std::vector<std::string> broken; /* promises, in words */
+    std::vector<std::string> violations; /* of the guarantees above */
     uint64_t starts = 0;
     uint64_t messages = 0;
-    uint64_t given = 0; /* requests, from entry to entry */
+    uint64_t forwarded = 0; /* requests between entries */
 
-    /* For the fakes. */
+    /* Used by the fakes. */
     struct Event {
         uint64_t at;
         uint64_t order;
@@ -152,14 +169,14 @@
     void start_agent(size_t i);
     void start_entry(size_t i);
     void tick_agent(FakeAgent *a, uint64_t id);
-    void beat_agent(FakeAgent *a, uint64_t id);
+    void worker_heartbeat(FakeAgent *a, uint64_t id);
     void tick_entry(FakeEntry *e, uint64_t id);
     void tick_both(FakeEntry *e);
     void deliver(uint64_t from, uint64_t to, const dw_msg *m);
     void send_call(Call *c);
-    void end_entry(size_t i, uint64_t for_ms, bool dark);
-    FakeCaller *new_caller(Call *c, rl_taken *t);
-    void submit_at(FakeEntry *e, Call *c, FakeCaller *who);
+    void stop_entry(size_t i, uint64_t for_ms, bool power_loss);
+    FakeWaiter *new_waiter(Call *c, rl_taken *forwarded);
+    void submit_at(FakeEntry *e, Call *c, FakeWaiter *waiter);
     void answered(Call *c, uint64_t entry_id, co_outcome how);
     void worker_tick(FakeWorker &w);
     bool worker_start(size_t i, const rn_key &key, uint32_t millicores,
@@ -174,9 +191,10 @@
 
     std::mt19937_64 rng;
     std::priority_queue<Event> events;
-    uint64_t order = 0;
+    uint64_t next_sequence = 0;
     uint64_t next_id = 1;
-    std::set<std::pair<uint64_t, uint64_t>> cuts; /* from, to: process ids */
+    /* Connections that drop messages: process ids of sender, receiver. */
+    std::set<std::pair<uint64_t, uint64_t>> dropped_links;
 };
 
 #endif
