--- a/dunlinweir.c
+++ b/dunlinweir.c
@@ -1,3 +1,4 @@
+/* Command line for operators and callers; see dunlinweir(1). */
 #include <curl/curl.h>
 #include <inttypes.h>
 #include <jansson.h>
@@ -16,21 +17,21 @@
 
 #define URL_MAX 512
 
-enum exit_code { EXIT_GOOD = 0, EXIT_REFUSED = 1, EXIT_BAD_USAGE = 2 };
+enum cli_exit { CLI_OK = 0, CLI_FAILED = 1, CLI_USAGE = 2 };
 
-/* What the command line said. */
+/* Command-line options; NULL or 0 if not given. */
 struct args {
-    char *entry;
+    char *entry; /* base URL of the HTTP interface */
     char *token;
-    char *who;
-    char *why;
-    char *key;
-    char *at;
-    char *revision;
+    char *operator;      /* name for the audit trail */
+    char *change_reason; /* for the audit trail */
+    char *key;           /* idempotency key */
+    char *processes;     /* "ADDRESS:PORT,..." of metrics interfaces */
+    char *revision;      /* change only if the stored revision is this */
     int json;
     int wait;
     int override;
-    int limit;
+    int limit; /* audit entries shown */
     int deadline_ms;
 };
 
@@ -65,7 +66,8 @@
     return list;
 }
 
-/* False if no answer came; the reason is in r->error. */
+/* Returns false if no response was received, with the reason in r->error.
+ * The caller frees r->body. */
 static bool
 call(const char *method, const char *base, const char *path, struct str body,
     struct reply *r)
@@ -80,8 +82,8 @@
     buf_addf(&url, "%s%s", base, path);
     buf_addf(&auth, "Bearer %s", args.token != NULL ? args.token : "");
     headers = add_header(headers, "Authorization", auth.p);
-    headers = add_header(headers, "Dunlinweir-Who", args.who);
-    headers = add_header(headers, "Dunlinweir-Why", args.why);
+    headers = add_header(headers, "Dunlinweir-Who", args.operator);
+    headers = add_header(headers, "Dunlinweir-Why", args.change_reason);
     headers = add_header(headers, "If-Match", args.revision);
     headers = add_header(headers, "Idempotency-Key", args.key);
     headers = curl_slist_append(headers, "Expect:");
@@ -106,7 +108,7 @@
     return code == CURLE_OK;
 }
 
-/* --- printing --- */
+/* --- output --- */
 
 static void
 print_value(const char *name, const json_t *v)
@@ -122,7 +124,8 @@
     free(text);
 }
 
-/* One line of name=value for an object, one line each for a list. */
+/* Prints an object as one line of name=value pairs, and a list or a member
+ * that is a list of objects as one line for each object. */
 static void
 print_plain(const json_t *o)
 {
@@ -172,7 +175,7 @@
 {
     json_t *o = json_loadb(
         r->body.p != NULL ? r->body.p : "", r->body.n, JSON_DECODE_ANY, NULL);
-    bool good = r->status >= 200 && r->status < 300;
+    bool succeeded = r->status >= 200 && r->status < 300;
     char *text;
 
     if (args.json && o != NULL) {
@@ -180,35 +183,36 @@
         printf("%s\n", text);
         free(text);
     }
-    else if (good && o != NULL) {
+    else if (succeeded && o != NULL) {
         print_plain(o);
     }
-    if (!good) {
+    if (!succeeded) {
         print_problem(r);
     }
     json_decref(o);
     buf_free(&r->body);
-    return good ? EXIT_GOOD : EXIT_REFUSED;
+    return succeeded ? CLI_OK : CLI_FAILED;
 }
 
 static int
-ask(const char *method, const char *path, struct str body)
+request_and_print(const char *method, const char *path, struct str body)
 {
     struct reply r;
 
     if (!call(method, args.entry, path, body, &r)) {
         fprintf(stderr, "dunlinweir: %s: %s\n", args.entry, r.error);
         buf_free(&r.body);
-        return EXIT_REFUSED;
+        return CLI_FAILED;
     }
     return print_reply(&r);
 }
 
-/* --- bodies --- */
+/* --- request bodies --- */
 
-/* The file's content, or standard input's for "-"; false with a message. */
+/* Reads a file, or standard input for "-".  Prints a message and returns
+ * false if the file cannot be opened. */
 static bool
-read_body(const char *path, struct buf *b)
+read_file(const char *path, struct buf *b)
 {
     bool in = strcmp(path, "-") == 0;
     FILE *f = in ? stdin : fopen(path, "re");
@@ -256,7 +260,7 @@
 typedef int (*command_fn)(const char **words, size_t n);
 
 static void
-change_query(struct buf *path)
+add_change_query(struct buf *path)
 {
     buf_addf(path, "?%s%s", args.wait ? "wait=1&" : "",
         args.override ? "override=1&" : "");
@@ -267,20 +271,20 @@
 {
     (void)words;
     (void)n;
-    return ask("GET", "/v1/contracts", STR(""));
+    return request_and_print("GET", "/v1/contracts", STR(""));
 }
 
 static int
-contract_one(const char *method, const char *name, struct str body)
+request_contract(const char *method, const char *name, struct str body)
 {
     struct buf path = {0};
     int code;
 
     buf_addf(&path, "/v1/contracts/%s", name);
     if (strcmp(method, "GET") != 0) {
-        change_query(&path);
+        add_change_query(&path);
     }
-    code = ask(method, path.p, body);
+    code = request_and_print(method, path.p, body);
     buf_free(&path);
     return code;
 }
@@ -289,25 +293,25 @@
 contract_get(const char **words, size_t n)
 {
     (void)n;
-    return contract_one("GET", words[0], STR(""));
+    return request_contract("GET", words[0], STR(""));
 }
 
 static int
 contract_delete(const char **words, size_t n)
 {
     (void)n;
-    return contract_one("DELETE", words[0], STR(""));
+    return request_contract("DELETE", words[0], STR(""));
 }
 
 static int
 contract_set(const char **words, size_t n)
 {
     struct buf body = {0};
-    int code = EXIT_BAD_USAGE;
+    int code = CLI_USAGE;
 
     (void)n;
-    if (read_body(words[1], &body)) {
-        code = contract_one("PUT", words[0], buf_str(&body));
+    if (read_file(words[1], &body)) {
+        code = request_contract("PUT", words[0], buf_str(&body));
     }
     buf_free(&body);
     return code;
@@ -321,7 +325,7 @@
     (void)n;
     ct_token_hash(str_of(words[0]), hash);
     printf("%s\n", hash);
-    return EXIT_GOOD;
+    return CLI_OK;
 }
 
 static int
@@ -329,7 +333,7 @@
 {
     (void)words;
     (void)n;
-    return ask("GET", "/v1/domains", STR(""));
+    return request_and_print("GET", "/v1/domains", STR(""));
 }
 
 static int
@@ -339,9 +343,9 @@
     int code;
 
     buf_addf(&path, "/v1/domains/%s", name);
-    change_query(&path);
-    code =
-        ask("PUT", path.p, in ? STR("{\"in\":true}") : STR("{\"in\":false}"));
+    add_change_query(&path);
+    code = request_and_print(
+        "PUT", path.p, in ? STR("{\"in\":true}") : STR("{\"in\":false}"));
     buf_free(&path);
     return code;
 }
@@ -365,7 +369,7 @@
 {
     (void)words;
     (void)n;
-    return ask("GET", "/v1/status", STR(""));
+    return request_and_print("GET", "/v1/status", STR(""));
 }
 
 static int
@@ -377,7 +381,7 @@
     (void)words;
     (void)n;
     buf_addf(&path, "/v1/audit?limit=%d", args.limit);
-    code = ask("GET", path.p, STR(""));
+    code = request_and_print("GET", path.p, STR(""));
     buf_free(&path);
     return code;
 }
@@ -387,7 +391,7 @@
 {
     struct buf body = {0};
     char key[40];
-    int code = EXIT_BAD_USAGE;
+    int code = CLI_USAGE;
 
     (void)n;
     if (args.key == NULL) {
@@ -395,8 +399,8 @@
         args.key = str_dup(str_of(key));
         fprintf(stderr, "key %s\n", key);
     }
-    if (read_body(words[0], &body)) {
-        code = ask("POST", "/v1/jobs", buf_str(&body));
+    if (read_file(words[0], &body)) {
+        code = request_and_print("POST", "/v1/jobs", buf_str(&body));
     }
     buf_free(&body);
     return code;
@@ -409,7 +413,7 @@
     int code;
 
     buf_addf(&path, "/v1/jobs/%s", key);
-    code = ask(method, path.p, STR(""));
+    code = request_and_print(method, path.p, STR(""));
     buf_free(&path);
     return code;
 }
@@ -428,26 +432,27 @@
     return job_by_key("DELETE", words[0]);
 }
 
-/* A note of one process's trail. */
-struct note {
-    json_int_t ms;
+/* An event of a submission, as one process recorded it in its trail. */
+struct trail_event {
+    json_int_t time_ms;
     char *process;
     char *text;
 };
 
 static int
-by_time(const void *a, const void *b)
+by_event_time(const void *a, const void *b)
 {
-    const struct note *x = a;
-    const struct note *y = b;
+    const struct trail_event *x = a;
+    const struct trail_event *y = b;
 
-    return x->ms < y->ms ? -1 : x->ms > y->ms;
+    return x->time_ms < y->time_ms ? -1 : x->time_ms > y->time_ms;
 }
 
-/* Ask every process for what it remembers of the submission. */
+/* Reads the trail at path from every member and adds to *unanswered the number
+ * of processes that did not return one.  Returns the number of events. */
 static size_t
-collect(const json_t *members, const char *path, struct note **notes,
-    size_t *silent)
+fetch_trail(const json_t *members, const char *path,
+    struct trail_event **events, size_t *unanswered)
 {
     size_t count = 0;
     size_t i;
@@ -466,14 +471,14 @@
         if (call("GET", base.p, path, STR(""), &r) && r.status == 200) {
             list = json_loadb(r.body.p, r.body.n, 0, NULL);
         }
-        *silent += list == NULL;
+        *unanswered += list == NULL;
         json_array_foreach (list, k, row) {
-            *notes = dw_grow(*notes, (count + 1) * sizeof(**notes));
-            (*notes)[count].ms =
+            *events = dw_grow(*events, (count + 1) * sizeof(**events));
+            (*events)[count].time_ms =
                 json_integer_value(json_object_get(row, "ms"));
-            (*notes)[count].process =
+            (*events)[count].process =
                 str_dup(str_of(json_string_value(json_object_get(m, "name"))));
-            (*notes)[count].text = str_dup(
+            (*events)[count].text = str_dup(
                 str_of(json_string_value(json_object_get(row, "text"))));
             count++;
         }
@@ -485,26 +490,26 @@
 }
 
 static void
-print_notes(struct note *notes, size_t count)
+print_trail(struct trail_event *events, size_t count)
 {
     json_t *list = json_array();
     char *text;
 
     if (count > 0) {
-        qsort(notes, count, sizeof(*notes), by_time);
+        qsort(events, count, sizeof(*events), by_event_time);
     }
     for (size_t i = 0; i < count; i++) {
         if (args.json) {
-            json_array_append_new(
-                list, json_pack("{s:I, s:s, s:s}", "ms", notes[i].ms,
-                          "process", notes[i].process, "text", notes[i].text));
+            json_array_append_new(list,
+                json_pack("{s:I, s:s, s:s}", "ms", events[i].time_ms,
+                    "process", events[i].process, "text", events[i].text));
         }
         else {
-            printf("%lld %s %s\n", (long long)notes[i].ms, notes[i].process,
-                notes[i].text);
+            printf("%lld %s %s\n", (long long)events[i].time_ms,
+                events[i].process, events[i].text);
         }
-        free(notes[i].process);
-        free(notes[i].text);
+        free(events[i].process);
+        free(events[i].text);
     }
     if (args.json) {
         text = json_dumps(list, JSON_INDENT(2));
@@ -515,12 +520,12 @@
 }
 
 static int
-explain(const char **words, size_t n)
+explain_submission(const char **words, size_t n)
 {
     struct reply r;
     struct buf path = {0};
-    struct note *notes = NULL;
-    size_t silent = 0;
+    struct trail_event *events = NULL;
+    size_t unanswered = 0;
     size_t count;
     json_t *o;
 
@@ -533,28 +538,31 @@
     o = json_loadb(r.body.p, r.body.n, 0, NULL);
     buf_free(&r.body);
     buf_addf(&path, "/v1/trail/%s/%s", words[0], words[1]);
-    count = collect(json_object_get(o, "members"), path.p, &notes, &silent);
-    print_notes(notes, count);
+    count = fetch_trail(
+        json_object_get(o, "members"), path.p, &events, &unanswered);
+    print_trail(events, count);
     if (count == 0) {
-        fprintf(stderr, "dunlinweir: no process remembers this submission\n");
+        fprintf(stderr, "dunlinweir: no records found for this submission\n");
     }
-    if (silent > 0) {
-        fprintf(stderr, "dunlinweir: %zu processes did not answer\n", silent);
+    if (unanswered > 0) {
+        fprintf(
+            stderr, "dunlinweir: %zu processes did not answer\n", unanswered);
     }
-    free(notes);
+    free(events);
     buf_free(&path);
     json_decref(o);
-    return count > 0 ? EXIT_GOOD : EXIT_REFUSED;
+    return count > 0 ? CLI_OK : CLI_FAILED;
 }
 
-/* Add the lines that the processes at args.at remember; the number of
- * processes that did not answer. */
+/* Writes the log lines about job `id` that the processes listed in
+ * args.processes keep in memory.  Returns the number of processes that did not
+ * answer. */
 static size_t
-ask_lines(const char *id, FILE *out)
+fetch_lines(const char *id, FILE *out)
 {
-    char *list = str_dup(str_of(args.at));
+    char *list = str_dup(str_of(args.processes));
     struct buf path = {0};
-    size_t silent = 0;
+    size_t unanswered = 0;
     char *rest = NULL;
     char *at;
 
@@ -566,8 +574,8 @@
 
         snprintf(url, sizeof(url), "http://%s", at);
         if (!call("GET", url, path.p, STR(""), &r) || r.status != 200) {
-            fprintf(stderr, "dunlinweir: %s does not answer\n", at);
-            silent++;
+            fprintf(stderr, "dunlinweir: no answer from %s\n", at);
+            unanswered++;
         }
         else {
             fwrite(r.body.p, 1, r.body.n, out);
@@ -576,39 +584,39 @@
     }
     buf_free(&path);
     free(list);
-    return silent;
+    return unanswered;
 }
 
-/* A job on the users' platform: its lines out of the logs of all machines, or
- * as the processes remember them. */
+/* Explains a job on the users' platform from the log lines of all machines on
+ * standard input, or from those that the processes keep in memory. */
 static int
-explain_log(const char **words, size_t n)
+explain_job(const char **words, size_t n)
 {
-    FILE *in = args.at != NULL ? tmpfile() : stdin;
-    size_t silent = 0;
+    FILE *in = args.processes != NULL ? tmpfile() : stdin;
+    size_t unanswered = 0;
     size_t count;
 
     (void)n;
     if (in == NULL) {
         perror("dunlinweir: temporary file");
-        return EXIT_REFUSED;
+        return CLI_FAILED;
     }
-    if (args.at != NULL) {
-        silent = ask_lines(words[0], in);
+    if (args.processes != NULL) {
+        unanswered = fetch_lines(words[0], in);
         rewind(in);
     }
     count = explain_lines(in, words[0], stdout);
-    if (args.at != NULL) {
+    if (args.processes != NULL) {
         fclose(in);
     }
     if (count == 0) {
-        fprintf(stderr, "dunlinweir: no line has job=%s\n", words[0]);
+        fprintf(stderr, "dunlinweir: no log line has job=%s\n", words[0]);
     }
-    return count > 0 && silent == 0 ? EXIT_GOOD : EXIT_REFUSED;
+    return count > 0 && unanswered == 0 ? CLI_OK : CLI_FAILED;
 }
 
 static int
-check(const char **words, size_t n)
+check_settings(const char **words, size_t n)
 {
     struct conf *c = dw_zero(1, sizeof(*c));
     struct err e = {""};
@@ -618,16 +626,16 @@
     free(c);
     if (st != CONF_OK) {
         fprintf(stderr, "dunlinweir: %s\n", e.msg);
-        return EXIT_REFUSED;
+        return CLI_FAILED;
     }
     printf("%s: settings are good\n", words[0]);
-    return EXIT_GOOD;
+    return CLI_OK;
 }
 
 static const struct {
     const char *group;
-    const char *name; /* NULL: the group is the command */
-    size_t words;
+    const char *name; /* NULL: the group is the whole command */
+    size_t words;     /* arguments after the command */
     command_fn fn;
     const char *usage;
 } commands[] = {
@@ -641,13 +649,13 @@
     {"domain", "in", 1, domain_in, "DOMAIN"},
     {"status", NULL, 0, status, ""},
     {"audit", NULL, 0, audit, ""},
-    {"explain", NULL, 2, explain, "CUSTOMER KEY"},
-    {"explain", NULL, 1, explain_log,
+    {"explain", NULL, 2, explain_submission, "CUSTOMER KEY"},
+    {"explain", NULL, 1, explain_job,
         "ID, with --at or logs on standard input"},
     {"submit", NULL, 1, submit, "FILE"},
     {"get", NULL, 1, job_get, "KEY"},
     {"cancel", NULL, 1, job_cancel, "KEY"},
-    {"check", NULL, 1, check, "SETTINGS"},
+    {"check", NULL, 1, check_settings, "SETTINGS"},
 };
 
 #define COMMAND_COUNT (sizeof(commands) / sizeof(commands[0]))
@@ -663,7 +671,7 @@
             commands[i].usage);
     }
     fprintf(stderr, "  --help shows the options\n");
-    return EXIT_BAD_USAGE;
+    return CLI_USAGE;
 }
 
 static int
@@ -682,9 +690,10 @@
     return usage();
 }
 
-/* What no option gave comes from the environment, or is `other`. */
+/* Sets an option that was not given from the environment variable `name`, or
+ * to `other` if that is not set either. */
 static void
-set_default(char **at, const char *name, const char *other)
+set_fallback(char **at, const char *name, const char *other)
 {
     const char *v = getenv(name);
 
@@ -701,25 +710,29 @@
 {
     const struct poptOption options[] = {
         {"entry", 'e', POPT_ARG_STRING, &args.entry, 0,
-            "an entry, or the balancer before them; DUNLINWEIR_ENTRY", "URL"},
+            "an entry, or the load balancer in front of them; "
+            "DUNLINWEIR_ENTRY",
+            "URL"},
         {"token", 't', POPT_ARG_STRING, &args.token, 0,
-            "of the operators or of a contract; DUNLINWEIR_TOKEN", "TOKEN"},
-        {"who", 0, POPT_ARG_STRING, &args.who, 0,
-            "who changes, for the audit trail; USER", "NAME"},
-        {"why", 'm', POPT_ARG_STRING, &args.why, 0, "why, for the audit trail",
-            "TEXT"},
+            "token of the operators or of a contract; DUNLINWEIR_TOKEN",
+            "TOKEN"},
+        {"who", 0, POPT_ARG_STRING, &args.operator, 0,
+            "operator's name for the audit trail; USER", "NAME"},
+        {"why", 'm', POPT_ARG_STRING, &args.change_reason, 0,
+            "reason for the audit trail", "TEXT"},
         {"if-revision", 0, POPT_ARG_STRING, &args.revision, 0,
-            "change only what has this revision (mod)", "N"},
+            "change only if the stored revision (mod) is this", "N"},
         {"key", 'k', POPT_ARG_STRING, &args.key, 0,
-            "idempotency key; a new UUIDv7 if left out", "KEY"},
-        {"at", 0, POPT_ARG_STRING, &args.at, 0,
-            "for explain ID: processes asked, by their metrics addresses",
+            "idempotency key; a new UUIDv7 if not given", "KEY"},
+        {"at", 0, POPT_ARG_STRING, &args.processes, 0,
+            "for explain ID: metrics addresses of the processes to query",
             "ADDRESS:PORT,..."},
         {"wait", 'w', POPT_ARG_NONE, &args.wait, 0,
             "wait until the change is in force everywhere", NULL},
         {"override", 0, POPT_ARG_NONE, &args.override, 0,
-            "write a contract that cannot be kept", NULL},
-        {"limit", 'n', POPT_ARG_INT, &args.limit, 0, "entries shown", "N"},
+            "write a contract even if its guarantee does not fit", NULL},
+        {"limit", 'n', POPT_ARG_INT, &args.limit, 0,
+            "number of audit entries shown", "N"},
         {"json", 'j', POPT_ARG_NONE, &args.json, 0, "print JSON", NULL},
         POPT_AUTOHELP POPT_TABLEEND};
     poptContext ctx =
@@ -732,16 +745,16 @@
     args.limit = 50;
     poptSetOtherOptionHelp(ctx, "[options] command");
     opt = poptGetNextOpt(ctx);
-    set_default(&args.entry, "DUNLINWEIR_ENTRY", "http://127.0.0.1:7100");
-    set_default(&args.token, "DUNLINWEIR_TOKEN", NULL);
-    set_default(&args.who, "USER", "unknown");
+    set_fallback(&args.entry, "DUNLINWEIR_ENTRY", "http://127.0.0.1:7100");
+    set_fallback(&args.token, "DUNLINWEIR_TOKEN", NULL);
+    set_fallback(&args.operator, "USER", "unknown");
     while (n < 7 && poptPeekArg(ctx) != NULL) {
         words[n++] = poptGetArg(ctx);
     }
     if (opt < -1) {
         fprintf(stderr, "dunlinweir: %s: %s\n",
             poptBadOption(ctx, POPT_BADOPTION_NOALIAS), poptStrerror(opt));
-        code = EXIT_BAD_USAGE;
+        code = CLI_USAGE;
     }
     else {
         curl_global_init(CURL_GLOBAL_DEFAULT);
@@ -751,10 +764,10 @@
     poptFreeContext(ctx);
     free(args.entry);
     free(args.token);
-    free(args.who);
-    free(args.why);
+    free(args.operator);
+    free(args.change_reason);
     free(args.key);
-    free(args.at);
+    free(args.processes);
     free(args.revision);
     return code;
 }
