--- a/dwfleet.c
+++ b/dwfleet.c
@@ -1,3 +1,4 @@
+/* Starts and stops the processes of an experiment. */
 #include "dwload.h"
 
 #include <curl/curl.h>
@@ -13,9 +14,9 @@
 
 #include "contract.h"
 
-#define AWAIT_TRIES 400
-#define AWAIT_US 25000
-#define OPERATORS "operators-secret"
+#define READY_TRIES 400
+#define READY_RETRY_US 25000
+#define OPERATORS_TOKEN "operators-secret"
 
 static size_t
 on_body(char *p, size_t size, size_t n, void *ctx)
@@ -25,7 +26,7 @@
 }
 
 long
-ld_http(const char *method, const char *url, const char *token,
+ld_http_request(const char *method, const char *url, const char *token,
     struct str body, struct buf *out)
 {
     CURL *c = curl_easy_init();
@@ -69,7 +70,7 @@
 }
 
 int
-ld_fleet_run(struct ld_fleet *f, struct ld_proc *p)
+ld_fleet_spawn(struct ld_fleet *f, struct ld_proc *p)
 {
     char log[192];
     int fd;
@@ -97,13 +98,13 @@
     struct ld_proc *p = &f->procs[f->count++];
 
     str_copy(p->name, sizeof(p->name), str_of(name));
-    p->http = http;
+    p->http_port = http;
     p->domain = domain;
     return p;
 }
 
 static char *
-number(uint32_t n)
+format_number(uint32_t n)
 {
     struct buf b = {0};
 
@@ -129,7 +130,8 @@
         "[process]\nrole = \"%s\"\nname = \"%s\"\ndomain = \"%s\"\n"
         "rack = \"rack%u\"\naddress = \"127.0.0.1\"\nport = %u\n"
         "http_port = %u\n[store]\nurl = \"http://127.0.0.1:%u\"\n"
-        "[operators]\ntoken = \"" OPERATORS "\"\n[worker]\nslots = %u\n%s",
+        "[operators]\ntoken = \"" OPERATORS_TOKEN
+        "\"\n[worker]\nslots = %u\n%s",
         role, name, ld_domain_name(i), i / 3 + 1, port, http, f->x->base_port,
         f->x->slots, f->x->extra);
     fclose(out);
@@ -148,22 +150,22 @@
     snprintf(name, sizeof(name), "b%u", i + 1);
     p = add_proc(f, name, port, i);
     p->argv[0] = str_dup(STR("build/fake-backend"));
-    p->argv[1] = number(port);
-    p->argv[2] = number(f->x->base_port + 400 + i);
-    p->argv[3] = number(f->x->slots);
+    p->argv[1] = format_number(port);
+    p->argv[2] = format_number(f->x->base_port + 400 + i);
+    p->argv[3] = format_number(f->x->slots);
 }
 
 static bool
-await(uint32_t port, const char *path)
+wait_until_ready(uint32_t port, const char *path)
 {
     char url[96];
 
     snprintf(url, sizeof(url), "http://127.0.0.1:%u%s", port, path);
-    for (int i = 0; i < AWAIT_TRIES; i++) {
-        if (ld_http("GET", url, NULL, STR(""), NULL) == 200) {
+    for (int i = 0; i < READY_TRIES; i++) {
+        if (ld_http_request("GET", url, NULL, STR(""), NULL) == 200) {
             return true;
         }
-        usleep(AWAIT_US);
+        usleep(READY_RETRY_US);
     }
     return false;
 }
@@ -176,7 +178,7 @@
     char name[LD_NAME_MAX];
 
     store->argv[0] = str_dup(STR("build/fake-store"));
-    store->argv[1] = number(x->base_port);
+    store->argv[1] = format_number(x->base_port);
     for (uint32_t i = 0; i < x->agents; i++) {
         snprintf(name, sizeof(name), "a%u", i + 1);
         add_daemon(f, "agent", name, i, x->base_port + 300 + i,
@@ -215,7 +217,8 @@
     ct_format(&c, &body);
     snprintf(url, sizeof(url), "http://127.0.0.1:%u/v1/contracts/%s?wait=1",
         x->base_port + 200, c.customer);
-    status = ld_http("PUT", url, OPERATORS, buf_str(&body), NULL);
+    status =
+        ld_http_request("PUT", url, OPERATORS_TOKEN, buf_str(&body), NULL);
     buf_free(&body);
     return status == 200;
 }
@@ -229,19 +232,19 @@
     str_copy(f->dir, sizeof(f->dir), str_of(dir));
     list_procs(f);
     for (size_t i = 0; i < f->count; i++) {
-        if (ld_fleet_run(f, &f->procs[i]) != 0) {
+        if (ld_fleet_spawn(f, &f->procs[i]) != 0) {
             err_set(e, "%s: %s", f->procs[i].name, strerror(errno));
             return -1;
         }
-        if (i == 0 && !await(f->procs[0].http, "/control")) {
-            err_set(e, "the stand-in store does not answer");
+        if (i == 0 && !wait_until_ready(f->procs[0].http_port, "/control")) {
+            err_set(e, "the stand-in store did not become ready");
             return -1;
         }
     }
     for (size_t i = 1; i < f->count; i++) {
         const char *path = f->procs[i].name[0] == 'b' ? "/control" : "/readyz";
 
-        if (!await(f->procs[i].http, path)) {
+        if (!wait_until_ready(f->procs[i].http_port, path)) {
             err_set(e, "%s is not ready; see %s/%s.log", f->procs[i].name, dir,
                 f->procs[i].name);
             return -1;
--- a/dwload.c
+++ b/dwload.c
@@ -1,3 +1,5 @@
+/* Runs an experiment: submits the jobs, injects the faults, collects the
+ * answers. */
 #include "dwload.h"
 
 #include <curl/curl.h>
@@ -17,35 +19,35 @@
 #include "conf.h"
 
 #define TICK_S 0.001
-#define CONNECTIONS 4000
-/* After the last deadline the answers must have come. */
-#define SLACK_MS 5000
+#define CONNECTIONS_MAX 4000
+/* How long after the last deadline the answers are awaited. */
+#define ANSWER_GRACE_MS 5000
 
-struct load {
+struct load_run {
     struct ld_experiment *x;
     struct ld_trace trace;
     struct ld_fleet fleet;
     struct ev_loop *loop;
     struct httpc *http;
     ev_timer tick;
-    double began_ms;
-    uint64_t epoch_ms; /* boot clock at the beginning */
-    size_t next_call;
-    size_t next_again;
-    size_t *again; /* calls to resubmit, by time */
-    size_t again_count;
-    size_t *cancel;
+    double start_ms;        /* boot clock when the experiment started */
+    uint64_t start_boot_ms; /* the same in whole ms, for the report */
+    size_t next_job;
+    size_t next_resubmit;
+    size_t *resubmits; /* indices of jobs to resubmit, by time */
+    size_t resubmit_count;
+    size_t *cancels; /* indices of jobs to cancel, by time */
     size_t cancel_count;
     size_t next_cancel;
-    bool struck[LD_FAULTS_MAX];
-    bool healed[LD_FAULTS_MAX];
-    size_t open;
+    bool injected[LD_FAULTS_MAX]; /* by index in the experiment */
+    bool cleared[LD_FAULTS_MAX];
+    size_t pending; /* requests without an answer */
 };
 
-struct answer_ctx {
-    struct load *l;
-    struct ld_call *c;
-    struct ld_try *t;
+struct submission_ctx {
+    struct load_run *load_run;
+    struct ld_job *job;
+    struct ld_submission *submission;
 };
 
 static double
@@ -58,9 +60,9 @@
 }
 
 static double
-elapsed(const struct load *l)
+elapsed(const struct load_run *l)
 {
-    return clock_ms(CLOCK_BOOTTIME) - l->began_ms;
+    return clock_ms(CLOCK_BOOTTIME) - l->start_ms;
 }
 
 /* --- settings --- */
@@ -105,21 +107,21 @@
 #define KEY_COUNT (sizeof(keys) / sizeof(keys[0]))
 
 static const char *const fault_names[LD_FAULT_KINDS] = {
-    [LD_KILL] = "kill",
-    [LD_PAUSE] = "pause",
-    [LD_STOP] = "stop",
-    [LD_DOMAIN_OUT] = "domain_out",
-    [LD_STORE_DOWN] = "store_down",
-    [LD_STORE_SLOW] = "store_slow",
-    [LD_STORE_LOSE] = "store_lose",
-    [LD_WORKER_FAILS] = "worker_fails",
-    [LD_CANCEL_WAVE] = "cancel_wave",
+    [LD_FAULT_KILL] = "kill",
+    [LD_FAULT_PAUSE] = "pause",
+    [LD_FAULT_STOP] = "stop",
+    [LD_FAULT_DOMAIN_OUT] = "domain_out",
+    [LD_FAULT_STORE_DOWN] = "store_down",
+    [LD_FAULT_STORE_SLOW] = "store_slow",
+    [LD_FAULT_STORE_LOSE] = "store_lose",
+    [LD_FAULT_WORKER_FAILS] = "worker_fails",
+    [LD_FAULT_CANCEL_WAVE] = "cancel_wave",
 };
 
 static enum conf_status
-bad(const struct toml_value *v, struct err *e, const char *want)
+bad_value(const struct toml_value *v, struct err *e, const char *want)
 {
-    err_set(e, "line %u: key '%s': want %s", v->line, v->key, want);
+    err_set(e, "line %u: key '%s': expected %s", v->line, v->key, want);
     return CONF_BAD_VALUE;
 }
 
@@ -131,7 +133,7 @@
     struct ld_fault *f;
 
     if (*rest != '.' || i < 1 || i > LD_FAULTS_MAX) {
-        return bad(v, e, "[fault.N], N from 1 to 64");
+        return bad_value(v, e, "[fault.N], N from 1 to 64");
     }
     f = &x->faults[i - 1];
     x->fault_count = i > x->fault_count ? i : x->fault_count;
@@ -141,7 +143,7 @@
                 return CONF_OK;
             }
         }
-        return bad(v, e,
+        return bad_value(v, e,
             "kill, pause, stop, domain_out, store_down, "
             "store_slow, store_lose, worker_fails or "
             "cancel_wave");
@@ -151,14 +153,14 @@
         return CONF_OK;
     }
     if (strcmp(rest, ".at_ms") == 0 && v->kind == TOML_NUMBER) {
-        f->at_ms = (uint32_t)v->number;
+        f->start_ms = (uint32_t)v->number;
         return CONF_OK;
     }
     if (strcmp(rest, ".ms") == 0 && v->kind == TOML_NUMBER) {
-        f->ms = (uint32_t)v->number;
+        f->duration_ms = (uint32_t)v->number;
         return CONF_OK;
     }
-    return bad(v, e, "kind, target, at_ms or ms");
+    return bad_value(v, e, "kind, target, at_ms or ms");
 }
 
 static enum conf_status
@@ -178,12 +180,12 @@
             continue;
         }
         if (v->kind != TOML_NUMBER || v->number < 0 || v->number > 100000000) {
-            return bad(v, e, "a whole number");
+            return bad_value(v, e, "a whole number");
         }
         *(uint32_t *)((char *)x + keys[i].offset) = (uint32_t)v->number;
         return CONF_OK;
     }
-    return bad(v, e, "a known key; see dwload(1)");
+    return bad_value(v, e, "a known key; see dwload(1)");
 }
 
 static bool
@@ -213,25 +215,25 @@
     return true;
 }
 
-/* --- calls --- */
+/* --- submissions --- */
 
-/* Does the answer hold every result, and only this call's? */
+/* Whether the answer has the result of every task, and of no other job. */
 static bool
-is_whole(const struct ld_call *c, json_t *o)
+results_match(const struct ld_job *job, json_t *o)
 {
     json_t *tasks = json_object_get(o, "tasks");
     size_t i;
     json_t *t;
 
-    if (json_array_size(tasks) != c->count) {
+    if (json_array_size(tasks) != job->task_count) {
         return false;
     }
     json_array_foreach (tasks, i, t) {
         const char *body = json_string_value(json_object_get(t, "body"));
         char want[128];
 
-        snprintf(want, sizeof(want), "ran customer%u %s %zu", c->customer,
-            c->key, i);
+        snprintf(want, sizeof(want), "ran customer%u %s %zu", job->customer,
+            job->key, i);
         if (body == NULL || strcmp(body, want) != 0) {
             return false;
         }
@@ -240,60 +242,62 @@
 }
 
 static enum ld_answer_state
-state_of(const char *name)
+parse_state(const char *name)
 {
     static const char *const names[] = {
-        [LD_GOT_COMPLETE] = "complete",
-        [LD_GOT_FAILED] = "failed",
-        [LD_GOT_NOT_RUN] = "not_run",
-        [LD_GOT_UNKNOWN] = "unknown",
+        [LD_ANSWER_COMPLETE] = "complete",
+        [LD_ANSWER_FAILED] = "failed",
+        [LD_ANSWER_NOT_RUN] = "not_run",
+        [LD_ANSWER_UNKNOWN] = "unknown",
     };
 
-    for (size_t i = LD_GOT_COMPLETE; i <= LD_GOT_UNKNOWN; i++) {
+    for (size_t i = LD_ANSWER_COMPLETE; i <= LD_ANSWER_UNKNOWN; i++) {
         if (name != NULL && strcmp(names[i], name) == 0) {
             return (enum ld_answer_state)i;
         }
     }
-    return LD_GOT_REFUSED;
+    return LD_ANSWER_REFUSED;
 }
 
 static void
 on_answer(void *ctx, const struct httpc_done *d)
 {
-    struct answer_ctx *a = ctx;
+    struct submission_ctx *sub = ctx;
     json_t *o = json_loadb(d->body.p, d->body.n, 0, NULL);
     const char *reason = json_string_value(json_object_get(o, "reason"));
 
-    a->l->open--;
-    a->t->answered_ms = elapsed(a->l);
-    a->t->state = state_of(json_string_value(json_object_get(o, "state")));
+    sub->load_run->pending--;
+    sub->submission->answered_ms = elapsed(sub->load_run);
+    sub->submission->state =
+        parse_state(json_string_value(json_object_get(o, "state")));
     if (d->status != HTTPC_OK) {
-        a->t->state = LD_GOT_UNKNOWN;
+        sub->submission->state = LD_ANSWER_UNKNOWN;
         reason = "connection";
     }
-    str_copy(a->t->reason, sizeof(a->t->reason), str_of(reason));
-    a->t->whole = is_whole(a->c, o);
+    str_copy(sub->submission->reason, sizeof(sub->submission->reason),
+        str_of(reason));
+    sub->submission->results_match = results_match(sub->job, o);
     json_decref(o);
-    free(a);
+    free(sub);
 }
 
 static void
-add_body(const struct load *l, const struct ld_call *c, struct buf *b)
+add_body(const struct load_run *l, const struct ld_job *job, struct buf *b)
 {
     buf_addf(b, "{\"deadline_ms\":%u,\"tasks\":[", l->x->deadline_ms);
-    for (uint32_t i = 0; i < c->count; i++) {
+    for (uint32_t i = 0; i < job->task_count; i++) {
         buf_addf(b,
             "%s{\"kind\":\"%s\",\"payload\":\"%u\",\"run_ms\":%u,"
             "\"millicores\":%u,\"memory_mb\":%u}",
-            i > 0 ? "," : "", c->big ? "big-report" : "grade", c->run_ms[i],
-            c->run_ms[i], 500, 64);
+            i > 0 ? "," : "", job->misdeclared ? "big-report" : "grade",
+            job->run_ms[i], job->run_ms[i], 500, 64);
     }
     buf_add(b, STR("]}"));
 }
 
 static void
-send_call(struct load *l, const char *method, const char *path,
-    struct ld_call *c, uint32_t entry, struct str body, httpc_done_fn done,
+send_call(struct load_run *l, const char *method, const char *path,
+    struct ld_job *job, uint32_t entry, struct str body, httpc_done_fn done,
     void *ctx)
 {
     char url[128];
@@ -305,8 +309,8 @@
     snprintf(url, sizeof(url), "http://127.0.0.1:%u%s",
         l->x->base_port + 200 + entry, path);
     snprintf(auth, sizeof(auth), "Authorization: Bearer customer-token-%u",
-        c->customer);
-    snprintf(key, sizeof(key), "Idempotency-Key: %s", c->key);
+        job->customer);
+    snprintf(key, sizeof(key), "Idempotency-Key: %s", job->key);
     call.method = method;
     call.url = url;
     call.headers = headers;
@@ -318,53 +322,56 @@
 }
 
 static void
-submit(struct load *l, struct ld_call *c, struct ld_try *t)
+submit(
+    struct load_run *l, struct ld_job *job, struct ld_submission *submission)
 {
-    struct answer_ctx *a = dw_zero(1, sizeof(*a));
+    struct submission_ctx *sub = dw_zero(1, sizeof(*sub));
     struct buf b = {0};
 
-    a->l = l;
-    a->c = c;
-    a->t = t;
-    t->sent_ms = elapsed(l);
-    if (c->key[0] == '\0') {
-        ld_key(c->key, (uint64_t)clock_ms(CLOCK_REALTIME),
-            mix64(l->x->seed, (uint64_t)(c - l->trace.calls)),
-            mix64(l->x->seed + 1, (uint64_t)(c - l->trace.calls)));
-    }
-    l->open++;
-    add_body(l, c, &b);
-    send_call(l, "POST", "/v1/jobs", c, t->entry, buf_str(&b), on_answer, a);
+    sub->load_run = l;
+    sub->job = job;
+    sub->submission = submission;
+    submission->sent_ms = elapsed(l);
+    if (job->key[0] == '\0') {
+        ld_format_key(job->key, (uint64_t)clock_ms(CLOCK_REALTIME),
+            mix64(l->x->seed, (uint64_t)(job - l->trace.jobs)),
+            mix64(l->x->seed + 1, (uint64_t)(job - l->trace.jobs)));
+    }
+    l->pending++;
+    add_body(l, job, &b);
+    send_call(l, "POST", "/v1/jobs", job, submission->entry, buf_str(&b),
+        on_answer, sub);
     buf_free(&b);
 }
 
 static void
-ignore(void *ctx, const struct httpc_done *d)
+ignore_reply(void *ctx, const struct httpc_done *d)
 {
-    struct load *l = ctx;
+    struct load_run *l = ctx;
 
     (void)d;
-    l->open--;
+    l->pending--;
 }
 
 static void
-cancel(struct load *l, struct ld_call *c)
+cancel(struct load_run *l, struct ld_job *job)
 {
     char path[64];
 
-    if (c->key[0] == '\0' || c->cancelled) {
+    if (job->key[0] == '\0' || job->cancel_sent) {
         return;
     }
-    c->cancelled = true;
-    l->open++;
-    snprintf(path, sizeof(path), "/v1/jobs/%s", c->key);
-    send_call(l, "DELETE", path, c, c->tries[1].entry, STR(""), ignore, l);
+    job->cancel_sent = true;
+    l->pending++;
+    snprintf(path, sizeof(path), "/v1/jobs/%s", job->key);
+    send_call(l, "DELETE", path, job, job->submissions[1].entry, STR(""),
+        ignore_reply, l);
 }
 
 /* --- faults --- */
 
 static void
-operators_put(struct load *l, const char *domain, bool in)
+set_domain(struct load_run *l, const char *domain, bool in)
 {
     static const char *const headers[] = {
         "Authorization: Bearer operators-secret", "Dunlinweir-Who: dwload",
@@ -379,14 +386,14 @@
     call.headers = headers;
     call.body = in ? STR("{\"in\":true}") : STR("{\"in\":false}");
     call.timeout_ms = 20000;
-    call.done = ignore;
+    call.done = ignore_reply;
     call.ctx = l;
-    l->open++;
+    l->pending++;
     httpc_start(l->http, &call);
 }
 
 static void
-control(struct load *l, uint32_t port, const char *query)
+post_control(struct load_run *l, uint32_t port, const char *query)
 {
     struct httpc_call call = {0};
     char url[128];
@@ -396,14 +403,14 @@
     call.url = url;
     call.body = STR("");
     call.timeout_ms = 5000;
-    call.done = ignore;
+    call.done = ignore_reply;
     call.ctx = l;
-    l->open++;
+    l->pending++;
     httpc_start(l->http, &call);
 }
 
 static void
-signal_proc(struct load *l, const char *name, int signum)
+signal_proc(struct load_run *l, const char *name, int signum)
 {
     struct ld_proc *p = ld_fleet_find(&l->fleet, name);
 
@@ -413,55 +420,55 @@
 }
 
 static void
-run_again(struct load *l, const char *name)
+restart_proc(struct load_run *l, const char *name)
 {
     struct ld_proc *p = ld_fleet_find(&l->fleet, name);
 
     if (p != NULL && p->pid > 0) {
         kill(p->pid, SIGKILL);
         waitpid(p->pid, NULL, 0);
-        ld_fleet_run(&l->fleet, p);
+        ld_fleet_spawn(&l->fleet, p);
     }
 }
 
 static uint32_t
-backend_port(const struct load *l, const char *name)
+backend_port(const struct load_run *l, const char *name)
 {
     return l->x->base_port + 500 + (uint32_t)strtoul(name + 1, NULL, 10) - 1;
 }
 
 static void
-strike(struct load *l, const struct ld_fault *f)
+inject_fault(struct load_run *l, const struct ld_fault *f)
 {
     switch (f->kind) {
-    case LD_KILL:
+    case LD_FAULT_KILL:
         signal_proc(l, f->target, SIGKILL);
         break;
-    case LD_PAUSE:
+    case LD_FAULT_PAUSE:
         signal_proc(l, f->target, SIGSTOP);
         break;
-    case LD_STOP:
+    case LD_FAULT_STOP:
         signal_proc(l, f->target, SIGTERM);
         break;
-    case LD_DOMAIN_OUT:
-        operators_put(l, f->target, false);
+    case LD_FAULT_DOMAIN_OUT:
+        set_domain(l, f->target, false);
         break;
-    case LD_STORE_DOWN:
-        control(l, l->x->base_port, "down=1");
+    case LD_FAULT_STORE_DOWN:
+        post_control(l, l->x->base_port, "down=1");
         break;
-    case LD_STORE_SLOW:
-        control(l, l->x->base_port, "slow_ms=800");
+    case LD_FAULT_STORE_SLOW:
+        post_control(l, l->x->base_port, "slow_ms=800");
         break;
-    case LD_STORE_LOSE:
-        control(l, l->x->base_port, "lose=500");
+    case LD_FAULT_STORE_LOSE:
+        post_control(l, l->x->base_port, "lose=500");
         break;
-    case LD_WORKER_FAILS:
-        control(l, backend_port(l, f->target), "fail=1");
+    case LD_FAULT_WORKER_FAILS:
+        post_control(l, backend_port(l, f->target), "fail=1");
         break;
-    case LD_CANCEL_WAVE:
-        for (size_t i = 0; i < l->next_call; i++) {
-            if (l->trace.calls[i].tries[0].state == LD_GOT_NOTHING) {
-                cancel(l, &l->trace.calls[i]);
+    case LD_FAULT_CANCEL_WAVE:
+        for (size_t i = 0; i < l->next_job; i++) {
+            if (l->trace.jobs[i].submissions[0].state == LD_ANSWER_NONE) {
+                cancel(l, &l->trace.jobs[i]);
             }
         }
         break;
@@ -471,30 +478,30 @@
 }
 
 static void
-heal(struct load *l, const struct ld_fault *f)
+clear_fault(struct load_run *l, const struct ld_fault *f)
 {
     switch (f->kind) {
-    case LD_KILL:
-    case LD_STOP:
-        run_again(l, f->target);
+    case LD_FAULT_KILL:
+    case LD_FAULT_STOP:
+        restart_proc(l, f->target);
         break;
-    case LD_PAUSE:
+    case LD_FAULT_PAUSE:
         signal_proc(l, f->target, SIGCONT);
         break;
-    case LD_DOMAIN_OUT:
-        operators_put(l, f->target, true);
+    case LD_FAULT_DOMAIN_OUT:
+        set_domain(l, f->target, true);
         break;
-    case LD_STORE_DOWN:
-        control(l, l->x->base_port, "down=0");
+    case LD_FAULT_STORE_DOWN:
+        post_control(l, l->x->base_port, "down=0");
         break;
-    case LD_STORE_SLOW:
-        control(l, l->x->base_port, "slow_ms=0");
+    case LD_FAULT_STORE_SLOW:
+        post_control(l, l->x->base_port, "slow_ms=0");
         break;
-    case LD_STORE_LOSE:
-        control(l, l->x->base_port, "lose=0");
+    case LD_FAULT_STORE_LOSE:
+        post_control(l, l->x->base_port, "lose=0");
         break;
-    case LD_WORKER_FAILS:
-        control(l, backend_port(l, f->target), "fail=0");
+    case LD_FAULT_WORKER_FAILS:
+        post_control(l, backend_port(l, f->target), "fail=0");
         break;
     default:
         break;
@@ -502,19 +509,19 @@
 }
 
 static void
-tend_faults(struct load *l, double now)
+update_faults(struct load_run *l, double now)
 {
     for (size_t i = 0; i < l->x->fault_count; i++) {
         const struct ld_fault *f = &l->x->faults[i];
 
-        if (!l->struck[i] && now >= f->at_ms) {
-            l->struck[i] = true;
-            strike(l, f);
+        if (!l->injected[i] && now >= f->start_ms) {
+            l->injected[i] = true;
+            inject_fault(l, f);
         }
-        if (l->struck[i] && !l->healed[i] && f->ms > 0 &&
-            now >= (double)f->at_ms + f->ms) {
-            l->healed[i] = true;
-            heal(l, f);
+        if (l->injected[i] && !l->cleared[i] && f->duration_ms > 0 &&
+            now >= (double)f->start_ms + f->duration_ms) {
+            l->cleared[i] = true;
+            clear_fault(l, f);
         }
     }
 }
@@ -524,95 +531,97 @@
 static void
 on_tick(struct ev_loop *loop, ev_timer *w, int revents)
 {
-    struct load *l = w->data;
+    struct load_run *l = w->data;
     double now = elapsed(l);
     bool sent;
 
     (void)revents;
-    tend_faults(l, now);
-    while (l->next_call < l->trace.count &&
-           l->trace.calls[l->next_call].at_ms <= now) {
-        struct ld_call *c = &l->trace.calls[l->next_call++];
+    update_faults(l, now);
+    while (l->next_job < l->trace.job_count &&
+           l->trace.jobs[l->next_job].arrival_ms <= now) {
+        struct ld_job *job = &l->trace.jobs[l->next_job++];
 
-        submit(l, c, &c->tries[0]);
+        submit(l, job, &job->submissions[0]);
     }
-    while (l->next_again < l->again_count &&
-           l->trace.calls[l->again[l->next_again]].again_ms <= now) {
-        struct ld_call *c = &l->trace.calls[l->again[l->next_again++]];
+    while (
+        l->next_resubmit < l->resubmit_count &&
+        l->trace.jobs[l->resubmits[l->next_resubmit]].resubmit_at_ms <= now) {
+        struct ld_job *job = &l->trace.jobs[l->resubmits[l->next_resubmit++]];
 
-        submit(l, c, &c->tries[1]);
+        submit(l, job, &job->submissions[1]);
     }
     while (l->next_cancel < l->cancel_count &&
-           l->trace.calls[l->cancel[l->next_cancel]].cancel_ms <= now) {
-        cancel(l, &l->trace.calls[l->cancel[l->next_cancel++]]);
+           l->trace.jobs[l->cancels[l->next_cancel]].cancel_at_ms <= now) {
+        cancel(l, &l->trace.jobs[l->cancels[l->next_cancel++]]);
     }
-    sent = l->next_call == l->trace.count && l->next_again == l->again_count &&
+    sent = l->next_job == l->trace.job_count &&
+           l->next_resubmit == l->resubmit_count &&
            l->next_cancel == l->cancel_count;
-    if (sent &&
-        (l->open == 0 || now > l->trace.calls[l->trace.count - 1].at_ms +
-                                   l->x->deadline_ms + SLACK_MS)) {
+    if (sent && (l->pending == 0 ||
+                    now > l->trace.jobs[l->trace.job_count - 1].arrival_ms +
+                              l->x->deadline_ms + ANSWER_GRACE_MS)) {
         ev_break(loop, EVBREAK_ALL);
     }
 }
 
-static struct ld_trace *sorting;
+static struct ld_trace *sorted_trace;
 
 static int
-by_again(const void *a, const void *b)
+by_resubmit_time(const void *a, const void *b)
 {
-    double x = sorting->calls[*(const size_t *)a].again_ms;
-    double y = sorting->calls[*(const size_t *)b].again_ms;
+    double x = sorted_trace->jobs[*(const size_t *)a].resubmit_at_ms;
+    double y = sorted_trace->jobs[*(const size_t *)b].resubmit_at_ms;
 
     return x < y ? -1 : x > y;
 }
 
 static int
-by_cancel(const void *a, const void *b)
+by_cancel_time(const void *a, const void *b)
 {
-    double x = sorting->calls[*(const size_t *)a].cancel_ms;
-    double y = sorting->calls[*(const size_t *)b].cancel_ms;
+    double x = sorted_trace->jobs[*(const size_t *)a].cancel_at_ms;
+    double y = sorted_trace->jobs[*(const size_t *)b].cancel_at_ms;
 
     return x < y ? -1 : x > y;
 }
 
 static void
-list_seconds(struct load *l)
+schedule_followups(struct load_run *l)
 {
-    l->again = dw_zero(l->trace.count, sizeof(size_t));
-    l->cancel = dw_zero(l->trace.count, sizeof(size_t));
-    for (size_t i = 0; i < l->trace.count; i++) {
-        if (l->trace.calls[i].again_ms > 0) {
-            l->again[l->again_count++] = i;
+    l->resubmits = dw_zero(l->trace.job_count, sizeof(size_t));
+    l->cancels = dw_zero(l->trace.job_count, sizeof(size_t));
+    for (size_t i = 0; i < l->trace.job_count; i++) {
+        if (l->trace.jobs[i].resubmit_at_ms > 0) {
+            l->resubmits[l->resubmit_count++] = i;
         }
-        if (l->trace.calls[i].cancel_ms > 0) {
-            l->cancel[l->cancel_count++] = i;
+        if (l->trace.jobs[i].cancel_at_ms > 0) {
+            l->cancels[l->cancel_count++] = i;
         }
     }
-    sorting = &l->trace;
-    qsort(l->again, l->again_count, sizeof(size_t), by_again);
-    qsort(l->cancel, l->cancel_count, sizeof(size_t), by_cancel);
+    sorted_trace = &l->trace;
+    qsort(l->resubmits, l->resubmit_count, sizeof(size_t), by_resubmit_time);
+    qsort(l->cancels, l->cancel_count, sizeof(size_t), by_cancel_time);
 }
 
 static void
-run_load(struct load *l)
+run_load(struct load_run *l)
 {
-    ld_trace_make(&l->trace, l->x);
-    list_seconds(l);
+    ld_trace_generate(&l->trace, l->x);
+    schedule_followups(l);
     l->loop = ev_default_loop(0);
-    l->http = httpc_new(l->loop, CONNECTIONS);
-    l->began_ms = clock_ms(CLOCK_BOOTTIME);
-    l->epoch_ms = (uint64_t)l->began_ms;
+    l->http = httpc_new(l->loop, CONNECTIONS_MAX);
+    l->start_ms = clock_ms(CLOCK_BOOTTIME);
+    l->start_boot_ms = (uint64_t)l->start_ms;
     ev_timer_init(&l->tick, on_tick, TICK_S, TICK_S);
     l->tick.data = l;
     ev_timer_start(l->loop, &l->tick);
     ev_run(l->loop, 0);
     ev_timer_stop(l->loop, &l->tick);
     httpc_free(l->http);
-    free(l->again);
-    free(l->cancel);
+    free(l->resubmits);
+    free(l->cancels);
 }
 
-/* --- an idle fleet --- */
+/* --- requests to an idle fleet --- */
 
 static size_t
 discard(char *p, size_t size, size_t n, void *ctx)
@@ -622,7 +631,8 @@
     return size * n;
 }
 
-/* One request at a time on a kept connection; blocking is fine here. */
+/* Sends one request on a persistent connection and returns its time in ms, or
+ * -1 if it failed.  Blocking is fine: there is one request at a time. */
 static double
 timed_call(CURL *c, const char *url, const char *body, const char *key)
 {
@@ -654,7 +664,7 @@
 }
 
 static size_t
-run_idle(struct load *l, const char *dir)
+run_idle(struct load_run *l, const char *dir)
 {
     size_t n = l->x->idle_calls;
     double *direct = dw_zero(n, sizeof(double));
@@ -673,7 +683,7 @@
         struct timespec pause = {0, 10000000};
         char key[40];
 
-        ld_key(key, (uint64_t)clock_ms(CLOCK_REALTIME), i, mix64(i, 1));
+        ld_format_key(key, (uint64_t)clock_ms(CLOCK_REALTIME), i, mix64(i, 1));
         direct[i] = timed_call(a, url_a, "0", key);
         through[i] = timed_call(b, url_b,
             "{\"tasks\":[{\"kind\":\"grade\",\"payload\":\"0\"}]}", key);
@@ -690,7 +700,7 @@
 static int
 run_experiment(struct ld_experiment *x, const char *dir)
 {
-    struct load *l = dw_zero(1, sizeof(*l));
+    struct load_run *l = dw_zero(1, sizeof(*l));
     struct err e = {""};
     size_t violations = 1;
 
@@ -703,9 +713,9 @@
     }
     else {
         run_load(l);
-        ld_trace_ideal(&l->trace, x);
-        violations =
-            ld_report(x, &l->trace, &l->fleet, dir, elapsed(l), l->epoch_ms);
+        ld_trace_schedule_ideal(&l->trace, x);
+        violations = ld_report_load(
+            x, &l->trace, &l->fleet, dir, elapsed(l), l->start_boot_ms);
         ld_trace_free(&l->trace);
     }
     ld_fleet_stop(&l->fleet);
@@ -717,8 +727,8 @@
 main(int argc, char **argv)
 {
     char *dir = NULL;
-    const struct poptOption options[] = {
-        {"out", 'o', POPT_ARG_STRING, &dir, 0, "where the report goes", "DIR"},
+    const struct poptOption options[] = {{"out", 'o', POPT_ARG_STRING, &dir, 0,
+                                             "directory of the report", "DIR"},
         POPT_AUTOHELP POPT_TABLEEND};
     poptContext ctx =
         poptGetContext("dwload", argc, (const char **)argv, options, 0);
--- a/dwreport.c
+++ b/dwreport.c
@@ -1,3 +1,4 @@
+/* Checks the answers of an experiment and writes its report. */
 #include "dwload.h"
 
 #include <inttypes.h>
@@ -8,16 +9,17 @@
 #include <string.h>
 #include <uthash.h>
 
-/* What a taken-out domain's processes may need until they stop starting. */
-#define LD_TAKE_OUT_MS 3500
-#define LD_SHOWN 20
+/* How long after the order to withdraw a failure domain its processes may
+ * still start tasks. */
+#define LD_WITHDRAWAL_BOUND_MS 3500
+#define LD_VIOLATIONS_SHOWN 20
 
 /* All starts of one task, over all backend servers. */
-struct started {
+struct task_starts {
     char *name; /* "customer key index" */
     unsigned count;
-    double first_ms;
-    uint32_t domain;
+    double first_ms; /* since the start of the experiment */
+    uint32_t domain; /* of the first start seen */
     UT_hash_handle hh;
 };
 
@@ -30,35 +32,35 @@
 
 struct report {
     const struct ld_experiment *x;
-    struct ld_trace *t;
-    struct ld_fleet *f;
+    struct ld_trace *trace;
+    struct ld_fleet *fleet;
     FILE *md;
-    struct started *starts;
+    struct task_starts *starts; /* by name */
     uint64_t start_count;
     size_t violations;
-    uint64_t cut;
-    uint64_t lapsed;
-    double began_ms;
+    uint64_t disconnects; /* requests closed before their answer */
+    uint64_t lapsed;      /* tasks stopped as their lease lapsed */
+    double start_boot_ms;
 };
 
 static void
-violation(struct report *r, const char *what, const char *who)
+report_violation(struct report *r, const char *what, const char *who)
 {
     r->violations++;
-    if (r->violations <= LD_SHOWN) {
+    if (r->violations <= LD_VIOLATIONS_SHOWN) {
         fprintf(stderr, "VIOLATION %s: %s\n", what, who);
         fprintf(r->md, "- violation: %s: %s\n", what, who);
     }
 }
 
-/* --- what the stand-ins counted --- */
+/* --- counts of the stand-in backend servers --- */
 
 static void
 add_start(struct report *r, char *line, uint32_t domain)
 {
     char *first = strrchr(line, ' ');
     char *count;
-    struct started *s;
+    struct task_starts *s;
 
     if (first == NULL) {
         return;
@@ -73,7 +75,7 @@
     if (s == NULL) {
         s = dw_zero(1, sizeof(*s));
         s->name = str_dup(str_of(line));
-        s->first_ms = strtod(first, NULL) - r->began_ms;
+        s->first_ms = strtod(first, NULL) - r->start_boot_ms;
         s->domain = domain;
         HASH_ADD_KEYPTR(hh, r->starts, s->name, strlen(s->name), s);
     }
@@ -88,9 +90,9 @@
     char url[96];
     char *save = NULL;
 
-    snprintf(url, sizeof(url), "http://127.0.0.1:%u/starts", p->http);
-    if (ld_http("GET", url, NULL, STR(""), &b) != 200) {
-        violation(r, "the stand-in does not tell its starts", p->name);
+    snprintf(url, sizeof(url), "http://127.0.0.1:%u/starts", p->http_port);
+    if (ld_http_request("GET", url, NULL, STR(""), &b) != 200) {
+        report_violation(r, "the stand-in does not list its starts", p->name);
     }
     for (char *line = strtok_r(b.p, "\n", &save); line != NULL;
          line = strtok_r(NULL, "\n", &save)) {
@@ -106,51 +108,56 @@
     char url[96];
     json_t *o;
 
-    snprintf(url, sizeof(url), "http://127.0.0.1:%u/control", p->http);
-    ld_http("GET", url, NULL, STR(""), &b);
+    snprintf(url, sizeof(url), "http://127.0.0.1:%u/control", p->http_port);
+    ld_http_request("GET", url, NULL, STR(""), &b);
     o = json_loadb(b.p != NULL ? b.p : "", b.n, 0, NULL);
-    r->cut += (uint64_t)json_integer_value(json_object_get(o, "cut"));
+    r->disconnects += (uint64_t)json_integer_value(json_object_get(o, "cut"));
     r->lapsed += (uint64_t)json_integer_value(json_object_get(o, "lapsed"));
     json_decref(o);
     buf_free(&b);
 }
 
-static struct started *
-start_of(struct report *r, const struct ld_call *c, uint32_t index)
+static struct task_starts *
+find_starts(struct report *r, const struct ld_job *job, uint32_t index)
 {
     char name[128];
-    struct started *s;
+    struct task_starts *s;
 
-    snprintf(
-        name, sizeof(name), "customer%u %s %u", c->customer, c->key, index);
+    snprintf(name, sizeof(name), "customer%u %s %u", job->customer, job->key,
+        index);
     HASH_FIND_STR(r->starts, name, s);
     return s;
 }
 
-/* --- the promises --- */
+/* --- checks --- */
 
 static void
-check_call(struct report *r, const struct ld_call *c)
+check_job(struct report *r, const struct ld_job *job)
 {
     uint32_t started = 0;
 
-    for (uint32_t i = 0; i < c->count; i++) {
-        started += start_of(r, c, i) != NULL;
+    for (uint32_t i = 0; i < job->task_count; i++) {
+        started += find_starts(r, job, i) != NULL;
     }
     for (int i = 0; i < 2; i++) {
-        const struct ld_try *t = &c->tries[i];
+        const struct ld_submission *submission = &job->submissions[i];
 
-        if (t->state == LD_GOT_COMPLETE && !t->whole) {
-            violation(r, "complete, but not whole or not its own", c->key);
+        if (submission->state == LD_ANSWER_COMPLETE &&
+            !submission->results_match) {
+            report_violation(r,
+                "complete, but results are missing or of another job",
+                job->key);
         }
-        if (t->state == LD_GOT_COMPLETE && started < c->count) {
-            violation(r, "complete, but not all was started", c->key);
+        if (submission->state == LD_ANSWER_COMPLETE &&
+            started < job->task_count) {
+            report_violation(
+                r, "complete, but not all tasks were started", job->key);
         }
-        if (t->state == LD_GOT_NOT_RUN && started > 0) {
-            violation(r, "not_run, but it was started", c->key);
+        if (submission->state == LD_ANSWER_NOT_RUN && started > 0) {
+            report_violation(r, "not_run, but tasks were started", job->key);
         }
-        if (t->sent_ms > 0 && t->state == LD_GOT_NOTHING) {
-            violation(r, "never answered", c->key);
+        if (submission->sent_ms > 0 && submission->state == LD_ANSWER_NONE) {
+            report_violation(r, "never answered", job->key);
         }
     }
 }
@@ -158,20 +165,21 @@
 static void
 check_domains(struct report *r)
 {
-    struct started *s;
+    struct task_starts *s;
 
     for (s = r->starts; s != NULL; s = s->hh.next) {
         if (s->count > 1) {
-            violation(r, "started more than once", s->name);
+            report_violation(r, "started more than once", s->name);
         }
         for (size_t i = 0; i < r->x->fault_count; i++) {
             const struct ld_fault *f = &r->x->faults[i];
 
-            if (f->kind == LD_DOMAIN_OUT &&
+            if (f->kind == LD_FAULT_DOMAIN_OUT &&
                 strcmp(f->target, ld_domain_name(s->domain)) == 0 &&
-                s->first_ms > (double)f->at_ms + LD_TAKE_OUT_MS &&
-                s->first_ms < (double)f->at_ms + f->ms) {
-                violation(r, "started in a domain taken out", s->name);
+                s->first_ms > (double)f->start_ms + LD_WITHDRAWAL_BOUND_MS &&
+                s->first_ms < (double)f->start_ms + f->duration_ms) {
+                report_violation(
+                    r, "started in a withdrawn failure domain", s->name);
             }
         }
     }
@@ -180,7 +188,7 @@
 /* --- figures --- */
 
 static int
-by_value(const void *a, const void *b)
+by_double(const void *a, const void *b)
 {
     double x = *(const double *)a;
     double y = *(const double *)b;
@@ -188,7 +196,7 @@
     return x < y ? -1 : x > y;
 }
 
-/* values are sorted by this. */
+/* Sorts the values. */
 static double
 quantile(double *values, size_t n, double q)
 {
@@ -197,7 +205,7 @@
     if (n == 0) {
         return 0;
     }
-    qsort(values, n, sizeof(*values), by_value);
+    qsort(values, n, sizeof(*values), by_double);
     return values[i < n ? i : n - 1];
 }
 
@@ -220,19 +228,21 @@
 static void
 write_response(struct report *r)
 {
-    double *over = dw_zero(r->t->count, sizeof(double));
-    double *added = dw_zero(r->t->count, sizeof(double));
+    double *over = dw_zero(r->trace->job_count, sizeof(double));
+    double *added = dw_zero(r->trace->job_count, sizeof(double));
     size_t n = 0;
 
-    for (size_t i = 0; i < r->t->count; i++) {
-        const struct ld_call *c = &r->t->calls[i];
+    for (size_t i = 0; i < r->trace->job_count; i++) {
+        const struct ld_job *job = &r->trace->jobs[i];
 
-        if (c->tries[0].state == LD_GOT_COMPLETE && c->ideal_ms > 0) {
-            /* From the intended arrival, so that a late sender counts. */
-            double ms = c->tries[0].answered_ms - c->at_ms;
+        if (job->submissions[0].state == LD_ANSWER_COMPLETE &&
+            job->ideal_response_ms > 0) {
+            /* From the planned arrival, so that the delay of a late submission
+             * counts. */
+            double ms = job->submissions[0].answered_ms - job->arrival_ms;
 
-            over[n] = ms / c->ideal_ms;
-            added[n++] = ms - c->ideal_ms;
+            over[n] = ms / job->ideal_response_ms;
+            added[n++] = ms - job->ideal_response_ms;
         }
     }
     write_line(r,
@@ -248,23 +258,24 @@
 static void
 write_answers(struct report *r)
 {
-    static const char *const names[LD_GOT_STATES] = {
+    static const char *const names[LD_ANSWER_STATES] = {
         "none", "complete", "failed", "not_run", "unknown", "refused"};
-    size_t n[LD_GOT_STATES] = {0};
+    size_t n[LD_ANSWER_STATES] = {0};
 
-    for (size_t i = 0; i < r->t->count; i++) {
+    for (size_t i = 0; i < r->trace->job_count; i++) {
         for (int k = 0; k < 2; k++) {
-            const struct ld_try *t = &r->t->calls[i].tries[k];
+            const struct ld_submission *submission =
+                &r->trace->jobs[i].submissions[k];
 
-            if (t->sent_ms > 0) {
-                n[t->state]++;
+            if (submission->sent_ms > 0) {
+                n[submission->state]++;
             }
         }
     }
     write_line(r, "- answers:");
-    for (size_t i = 0; i < LD_GOT_STATES; i++) {
+    for (size_t i = 0; i < LD_ANSWER_STATES; i++) {
         write_line(r, " %s %zu%s", names[i], n[i],
-            i + 1 < LD_GOT_STATES ? "," : "\n");
+            i + 1 < LD_ANSWER_STATES ? "," : "\n");
     }
 }
 
@@ -281,14 +292,17 @@
     struct refusal *all = NULL;
     struct refusal *one;
 
-    for (size_t i = 0; i < r->t->count * 2; i++) {
-        const struct ld_try *t = &r->t->calls[i / 2].tries[i % 2];
+    for (size_t i = 0; i < r->trace->job_count * 2; i++) {
+        const struct ld_submission *submission =
+            &r->trace->jobs[i / 2].submissions[i % 2];
         char name[64];
 
-        if (t->sent_ms == 0 || t->state == LD_GOT_COMPLETE) {
+        if (submission->sent_ms == 0 ||
+            submission->state == LD_ANSWER_COMPLETE) {
             continue;
         }
-        snprintf(name, sizeof(name), "%d/%s", (int)t->state, t->reason);
+        snprintf(name, sizeof(name), "%d/%s", (int)submission->state,
+            submission->reason);
         HASH_FIND_STR(all, name, one);
         if (one == NULL) {
             one = dw_zero(1, sizeof(*one));
@@ -306,7 +320,7 @@
 }
 
 static uint64_t
-metric(const char *text, const char *name)
+parse_metric(const char *text, const char *name)
 {
     const char *at = text;
     size_t n = strlen(name);
@@ -326,7 +340,7 @@
     uint64_t sum = 0;
 
     for (size_t i = 0; i < n; i++) {
-        sum += texts[i].p != NULL ? metric(texts[i].p, name) : 0;
+        sum += texts[i].p != NULL ? parse_metric(texts[i].p, name) : 0;
     }
     return sum;
 }
@@ -346,7 +360,7 @@
             name, sizeof(name), "dunlinweir_messages{type=\"%s\"}", types[i]);
         write_line(r, " %s %.3f", types[i],
             (double)sum_metric(texts, n, name) /
-                (double)(r->t->tasks > 0 ? r->t->tasks : 1));
+                (double)(r->trace->task_count > 0 ? r->trace->task_count : 1));
     }
     write_line(r,
         "\n- wasted: offers refused again %" PRIu64 ", full %" PRIu64
@@ -363,21 +377,23 @@
         sum_metric(texts, n, "dunlinweir_request_resends_total"));
 }
 
-/* The metrics of every daemon of one role; returns how many answered. */
+/* Reads the metrics of every daemon of one role ('a' or 'e', the first letter
+ * of its name).  Returns the number of daemons that answered. */
 static size_t
 read_metrics(struct report *r, char role, struct buf *texts)
 {
     size_t n = 0;
 
-    for (size_t i = 0; i < r->f->count; i++) {
-        const struct ld_proc *p = &r->f->procs[i];
+    for (size_t i = 0; i < r->fleet->count; i++) {
+        const struct ld_proc *p = &r->fleet->procs[i];
         char url[96];
 
         if (p->name[0] != role) {
             continue;
         }
-        snprintf(url, sizeof(url), "http://127.0.0.1:%u/metrics", p->http);
-        ld_http("GET", url, NULL, STR(""), &texts[n]);
+        snprintf(
+            url, sizeof(url), "http://127.0.0.1:%u/metrics", p->http_port);
+        ld_http_request("GET", url, NULL, STR(""), &texts[n]);
         n += texts[n].n > 0;
     }
     return n;
@@ -397,7 +413,7 @@
             (double)n,
         (double)sum_metric(texts, n, "dunlinweir_resident_kb") / 1e3 /
             (double)n,
-        cpu / (double)(r->t->tasks > 0 ? r->t->tasks : 1));
+        cpu / (double)(r->trace->task_count > 0 ? r->trace->task_count : 1));
 }
 
 static void
@@ -425,15 +441,16 @@
     }
 }
 
-/* Starts in each second and domain; the ideal beside them. */
+/* Writes seconds.csv: for each second the tasks that arrived and the starts in
+ * each failure domain. */
 static void
 write_seconds(struct report *r, const char *dir)
 {
     char path[192];
     size_t n = r->x->seconds + 40;
     uint32_t(*counts)[LD_DOMAINS] = dw_zero(n, sizeof(*counts));
-    uint32_t *asked = dw_zero(n, sizeof(*asked));
-    struct started *s;
+    uint32_t *arrived = dw_zero(n, sizeof(*arrived));
+    struct task_starts *s;
     FILE *out;
 
     for (s = r->starts; s != NULL; s = s->hh.next) {
@@ -441,10 +458,10 @@
             counts[(size_t)(s->first_ms / 1000)][s->domain % LD_DOMAINS]++;
         }
     }
-    for (size_t i = 0; i < r->t->count; i++) {
-        if (r->t->calls[i].at_ms / 1000 < (double)n) {
-            asked[(size_t)(r->t->calls[i].at_ms / 1000)] +=
-                r->t->calls[i].count;
+    for (size_t i = 0; i < r->trace->job_count; i++) {
+        if (r->trace->jobs[i].arrival_ms / 1000 < (double)n) {
+            arrived[(size_t)(r->trace->jobs[i].arrival_ms / 1000)] +=
+                r->trace->jobs[i].task_count;
         }
     }
     snprintf(path, sizeof(path), "%s/seconds.csv", dir);
@@ -453,17 +470,17 @@
         fprintf(out, "second,asked,%s,%s,%s\n", ld_domain_name(0),
             ld_domain_name(1), ld_domain_name(2));
         for (size_t i = 0; i < n; i++) {
-            fprintf(out, "%zu,%u,%u,%u,%u\n", i, asked[i], counts[i][0],
+            fprintf(out, "%zu,%u,%u,%u,%u\n", i, arrived[i], counts[i][0],
                 counts[i][1], counts[i][2]);
         }
         fclose(out);
     }
     free(counts);
-    free(asked);
+    free(arrived);
 }
 
 static void
-write_calls(struct report *r, const char *dir)
+write_jobs(struct report *r, const char *dir)
 {
     char path[192];
     FILE *out;
@@ -474,12 +491,13 @@
         return;
     }
     fprintf(out, "at_ms,tasks,ideal_ms,response_ms,state,reason\n");
-    for (size_t i = 0; i < r->t->count; i++) {
-        const struct ld_call *c = &r->t->calls[i];
+    for (size_t i = 0; i < r->trace->job_count; i++) {
+        const struct ld_job *job = &r->trace->jobs[i];
 
-        fprintf(out, "%.1f,%u,%.1f,%.1f,%d,%s\n", c->at_ms, c->count,
-            c->ideal_ms, c->tries[0].answered_ms - c->at_ms,
-            (int)c->tries[0].state, c->tries[0].reason);
+        fprintf(out, "%.1f,%u,%.1f,%.1f,%d,%s\n", job->arrival_ms,
+            job->task_count, job->ideal_response_ms,
+            job->submissions[0].answered_ms - job->arrival_ms,
+            (int)job->submissions[0].state, job->submissions[0].reason);
     }
     fclose(out);
 }
@@ -508,7 +526,7 @@
     fclose(out);
 }
 
-/* Work done while domains are out or faults last, against the ideal's. */
+/* Work completed during the experiment compared with the ideal schedule. */
 static void
 write_goodput(struct report *r, double elapsed_ms)
 {
@@ -516,19 +534,19 @@
     double ideal_end = 0;
     double end = 0;
 
-    for (size_t i = 0; i < r->t->count; i++) {
-        const struct ld_call *c = &r->t->calls[i];
+    for (size_t i = 0; i < r->trace->job_count; i++) {
+        const struct ld_job *job = &r->trace->jobs[i];
 
-        if (c->at_ms + c->ideal_ms > ideal_end) {
-            ideal_end = c->at_ms + c->ideal_ms;
+        if (job->arrival_ms + job->ideal_response_ms > ideal_end) {
+            ideal_end = job->arrival_ms + job->ideal_response_ms;
         }
-        if (c->tries[0].state == LD_GOT_COMPLETE ||
-            c->tries[1].state == LD_GOT_COMPLETE) {
-            double at = c->tries[0].state == LD_GOT_COMPLETE
-                            ? c->tries[0].answered_ms
-                            : c->tries[1].answered_ms;
+        if (job->submissions[0].state == LD_ANSWER_COMPLETE ||
+            job->submissions[1].state == LD_ANSWER_COMPLETE) {
+            double at = job->submissions[0].state == LD_ANSWER_COMPLETE
+                            ? job->submissions[0].answered_ms
+                            : job->submissions[1].answered_ms;
 
-            done += c->count;
+            done += job->task_count;
             end = at > end ? at : end;
         }
     }
@@ -536,15 +554,16 @@
         "- work done: %" PRIu64 " of %" PRIu64 " tasks in complete answers "
         "(%.2f %%); last answer at %.1f s, the ideal's at %.1f s; run %.1f "
         "s\n",
-        done, r->t->tasks, 100.0 * (double)done / (double)r->t->tasks,
-        end / 1000, ideal_end / 1000, elapsed_ms / 1000);
+        done, r->trace->task_count,
+        100.0 * (double)done / (double)r->trace->task_count, end / 1000,
+        ideal_end / 1000, elapsed_ms / 1000);
 }
 
 static void
 free_starts(struct report *r)
 {
-    struct started *s;
-    struct started *tmp;
+    struct task_starts *s;
+    struct task_starts *tmp;
 
     HASH_ITER (hh, r->starts, s, tmp) {
         HASH_DEL(r->starts, s);
@@ -554,10 +573,11 @@
 }
 
 size_t
-ld_report(const struct ld_experiment *x, struct ld_trace *t,
+ld_report_load(const struct ld_experiment *x, struct ld_trace *t,
     struct ld_fleet *f, const char *dir, double elapsed_ms, uint64_t epoch_ms)
 {
-    struct report r = {.x = x, .t = t, .f = f, .began_ms = (double)epoch_ms};
+    struct report r = {
+        .x = x, .trace = t, .fleet = f, .start_boot_ms = (double)epoch_ms};
     char path[192];
 
     snprintf(path, sizeof(path), "%s/report.md", dir);
@@ -569,7 +589,7 @@
     write_line(&r,
         "# %s\n\n- %zu calls, %" PRIu64 " tasks, %u entries, %u agents of "
         "%u slots, load %.0f %%, seed %u\n",
-        x->name, t->count, t->tasks, x->entries, x->agents, x->slots,
+        x->name, t->job_count, t->task_count, x->entries, x->agents, x->slots,
         x->load_permille / 10.0, x->seed);
     for (size_t i = 0; i < f->count; i++) {
         if (f->procs[i].name[0] == 'b') {
@@ -577,8 +597,8 @@
             read_control(&r, &f->procs[i]);
         }
     }
-    for (size_t i = 0; i < t->count; i++) {
-        check_call(&r, &t->calls[i]);
+    for (size_t i = 0; i < t->job_count; i++) {
+        check_job(&r, &t->jobs[i]);
     }
     check_domains(&r);
     write_response(&r);
@@ -587,7 +607,7 @@
     write_refusals(&r);
     write_processes(&r, elapsed_ms);
     write_seconds(&r, dir);
-    write_calls(&r, dir);
+    write_jobs(&r, dir);
     write_plot(dir);
     write_line(&r,
         "- check: %" PRIu64 " starts counted by the stand-ins, %u tasks, "
--- a/dwtrace.c
+++ b/dwtrace.c
@@ -1,3 +1,4 @@
+/* Generates the jobs of an experiment and their ideal schedule. */
 #include "dwload.h"
 
 #include <math.h>
@@ -6,7 +7,7 @@
 #include <string.h>
 
 struct rng {
-    uint64_t s;
+    uint64_t state;
 };
 
 static const char *const domain_names[LD_DOMAINS] = {
@@ -19,27 +20,27 @@
 }
 
 static uint64_t
-draw(struct rng *r)
+next_random(struct rng *r)
 {
-    r->s = mix64(r->s, 11);
-    return r->s;
+    r->state = mix64(r->state, 11);
+    return r->state;
 }
 
 static double
 uniform(struct rng *r)
 {
-    return ((double)(draw(r) >> 11) + 0.5) / 9007199254740992.0;
+    return ((double)(next_random(r) >> 11) + 0.5) / 9007199254740992.0;
 }
 
 static bool
-happens(struct rng *r, uint32_t permille)
+chance(struct rng *r, uint32_t permille)
 {
-    return draw(r) % 1000 < permille;
+    return next_random(r) % 1000 < permille;
 }
 
-/* Log-normal around the median with a long tail, cut at both ends. */
+/* A log-normal distribution around the median, limited at both ends. */
 static uint32_t
-run_time(struct rng *r, const struct ld_experiment *x)
+random_run_ms(struct rng *r, const struct ld_experiment *x)
 {
     double u = uniform(r);
     double v = uniform(r);
@@ -53,7 +54,8 @@
 }
 
 void
-ld_key(char out[40], uint64_t wall_ms, uint64_t random_a, uint64_t random_b)
+ld_format_key(
+    char out[40], uint64_t wall_ms, uint64_t random_a, uint64_t random_b)
 {
     snprintf(out, 40, "%08x-%04x-7%03x-%04x-%012llx",
         (unsigned)(wall_ms >> 16 & 0xffffffffU), (unsigned)(wall_ms & 0xffffU),
@@ -63,45 +65,48 @@
 }
 
 static uint32_t
-job_size(struct rng *r, const struct ld_experiment *x)
+random_job_size(struct rng *r, const struct ld_experiment *x)
 {
     double span = log((double)x->job_max / x->job_min);
 
-    if (happens(r, x->single_permille)) {
+    if (chance(r, x->single_permille)) {
         return 1;
     }
-    /* Small jobs are common, the largest rare. */
+    /* The product of two uniform numbers makes small jobs common and the
+     * largest rare. */
     return (uint32_t)(x->job_min * exp(span * uniform(r) * uniform(r)));
 }
 
 static void
-add_call(struct ld_trace *t, struct rng *r, const struct ld_experiment *x,
+add_job(struct ld_trace *t, struct rng *r, const struct ld_experiment *x,
     double at_ms)
 {
-    struct ld_call *c;
-
-    t->calls = dw_grow(t->calls, (t->count + 1) * sizeof(t->calls[0]));
-    c = &t->calls[t->count++];
-    memset(c, 0, sizeof(*c));
-    c->at_ms = at_ms;
-    c->customer = (uint32_t)(draw(r) % x->customers);
-    c->count = job_size(r, x);
-    c->run_ms = dw_zero(c->count, sizeof(uint32_t));
-    for (uint32_t i = 0; i < c->count; i++) {
-        c->run_ms[i] = run_time(r, x);
+    struct ld_job *job;
+
+    t->jobs = dw_grow(t->jobs, (t->job_count + 1) * sizeof(t->jobs[0]));
+    job = &t->jobs[t->job_count++];
+    memset(job, 0, sizeof(*job));
+    job->arrival_ms = at_ms;
+    job->customer = (uint32_t)(next_random(r) % x->customers);
+    job->task_count = random_job_size(r, x);
+    job->run_ms = dw_zero(job->task_count, sizeof(uint32_t));
+    for (uint32_t i = 0; i < job->task_count; i++) {
+        job->run_ms[i] = random_run_ms(r, x);
     }
-    c->big = happens(r, x->misdeclared_permille);
-    c->tries[0].entry = (uint32_t)(draw(r) % x->entries);
-    c->tries[1].entry = (c->tries[0].entry + 1) % x->entries;
-    if (happens(r, x->resubmit_permille)) {
-        c->again_ms = at_ms + 1 + uniform(r) * x->resubmit_ms;
+    job->misdeclared = chance(r, x->misdeclared_permille);
+    job->submissions[0].entry = (uint32_t)(next_random(r) % x->entries);
+    job->submissions[1].entry = (job->submissions[0].entry + 1) % x->entries;
+    if (chance(r, x->resubmit_permille)) {
+        job->resubmit_at_ms = at_ms + 1 + uniform(r) * x->resubmit_ms;
     }
-    if (happens(r, x->cancel_permille)) {
-        c->cancel_ms = at_ms + 20 + uniform(r) * 200;
+    if (chance(r, x->cancel_permille)) {
+        job->cancel_at_ms = at_ms + 20 + uniform(r) * 200;
     }
-    t->tasks += c->count;
+    t->task_count += job->task_count;
 }
 
+/* The mean run time of all tasks of a job, estimated from 20000 random jobs.
+ */
 static double
 mean_work_ms(const struct ld_experiment *x)
 {
@@ -109,23 +114,23 @@
     double work = 0;
 
     for (int i = 0; i < 20000; i++) {
-        work += (double)job_size(&r, x) * run_time(&r, x);
+        work += (double)random_job_size(&r, x) * random_run_ms(&r, x);
     }
     return work / 20000;
 }
 
 static int
-by_time(const void *a, const void *b)
+by_arrival(const void *a, const void *b)
 {
-    const struct ld_call *x = a;
-    const struct ld_call *y = b;
+    const struct ld_job *x = a;
+    const struct ld_job *y = b;
 
-    return x->at_ms < y->at_ms ? -1 : x->at_ms > y->at_ms;
+    return x->arrival_ms < y->arrival_ms ? -1 : x->arrival_ms > y->arrival_ms;
 }
 
-/* Poisson arrivals that keep the slots as busy as asked, plus bursts. */
+/* Poisson arrivals at the rate that gives the requested load, plus bursts. */
 void
-ld_trace_make(struct ld_trace *t, const struct ld_experiment *x)
+ld_trace_generate(struct ld_trace *t, const struct ld_experiment *x)
 {
     struct rng r = {x->seed};
     double slots = (double)x->agents * x->slots;
@@ -134,77 +139,78 @@
     double at = 0;
 
     memset(t, 0, sizeof(*t));
-    while (x->calls == 0 || t->count < x->calls) {
+    while (x->calls == 0 || t->job_count < x->calls) {
         at += -log(uniform(&r)) / per_ms;
         if (at > end && x->calls == 0) {
             break;
         }
-        add_call(t, &r, x, at);
+        add_job(t, &r, x, at);
     }
     for (double b = x->burst_every_ms; x->burst_every_ms > 0 && b < end;
          b += x->burst_every_ms) {
         for (uint32_t i = 0; i < x->burst_calls; i++) {
-            add_call(t, &r, x, b);
+            add_job(t, &r, x, b);
         }
     }
-    qsort(t->calls, t->count, sizeof(t->calls[0]), by_time);
+    qsort(t->jobs, t->job_count, sizeof(t->jobs[0]), by_arrival);
 }
 
 void
 ld_trace_free(struct ld_trace *t)
 {
-    for (size_t i = 0; i < t->count; i++) {
-        free(t->calls[i].run_ms);
+    for (size_t i = 0; i < t->job_count; i++) {
+        free(t->jobs[i].run_ms);
     }
-    free(t->calls);
+    free(t->jobs);
 }
 
-/* --- the ideal scheduler --- */
+/* --- the ideal schedule --- */
 
-/* Domains withdrawn at a time. */
+/* The earliest time from `at` on at which the domain is not withdrawn. */
 static double
-back_in_service(const struct ld_experiment *x, uint32_t domain, double at)
+available_from(const struct ld_experiment *x, uint32_t domain, double at)
 {
     for (size_t i = 0; i < x->fault_count; i++) {
         const struct ld_fault *f = &x->faults[i];
 
-        if (f->kind == LD_DOMAIN_OUT &&
-            strcmp(f->target, ld_domain_name(domain)) == 0 && at >= f->at_ms &&
-            at < f->at_ms + f->ms) {
-            return f->at_ms + f->ms;
+        if (f->kind == LD_FAULT_DOMAIN_OUT &&
+            strcmp(f->target, ld_domain_name(domain)) == 0 &&
+            at >= f->start_ms && at < f->start_ms + f->duration_ms) {
+            return f->start_ms + f->duration_ms;
         }
     }
     return at;
 }
 
 void
-ld_trace_ideal(struct ld_trace *t, const struct ld_experiment *x)
+ld_trace_schedule_ideal(struct ld_trace *t, const struct ld_experiment *x)
 {
     size_t slots = (size_t)x->agents * x->slots;
     double *free_at = dw_zero(slots, sizeof(double));
 
-    for (size_t i = 0; i < t->count; i++) {
-        struct ld_call *c = &t->calls[i];
-        double end = c->at_ms;
+    for (size_t i = 0; i < t->job_count; i++) {
+        struct ld_job *job = &t->jobs[i];
+        double end = job->arrival_ms;
 
-        for (uint32_t k = 0; k < c->count; k++) {
+        for (uint32_t k = 0; k < job->task_count; k++) {
             size_t best = 0;
             double best_at = INFINITY;
 
             for (size_t s = 0; s < slots; s++) {
                 uint32_t domain = (uint32_t)(s / x->slots) % LD_DOMAINS;
-                double at = free_at[s] > c->at_ms ? free_at[s] : c->at_ms;
+                double at = free_at[s] > job->arrival_ms ? free_at[s]
+                                                         : job->arrival_ms;
 
-                at = back_in_service(x, domain, at);
+                at = available_from(x, domain, at);
                 if (at < best_at) {
                     best = s;
                     best_at = at;
                 }
             }
-            free_at[best] = best_at + c->run_ms[k];
+            free_at[best] = best_at + job->run_ms[k];
             end = free_at[best] > end ? free_at[best] : end;
         }
-        c->ideal_ms = end - c->at_ms;
+        job->ideal_response_ms = end - job->arrival_ms;
     }
     free(free_at);
 }
