--- a/test/fake-backend.c
+++ b/test/fake-backend.c
@@ -6,9 +6,10 @@
  * Announces itself to the agent and runs tasks by waiting: the payload's
  * first number is the run time in ms ("120", "120 fail", "120 size 5000").
  * It counts every start by customer, key and index; GET /starts lists them.
- * POST /control?fail=1&leave=1&hang=1&no_lease=1 sets switches.  As the
- * worker it holds leases (a task whose lease lapsed is stopped, status 410),
- * stops tasks and reports use with a lag.
+ * POST /control?fail=1&leave=1&hang=1&no_lease=1 sets switches: fail all
+ * tasks, leave the agent, never finish a task, ignore leases.  In the worker's
+ * part it enforces leases (a task whose lease lapsed is stopped with status
+ * 410), stops tasks and reports resource use with a delay.
  */
 #include <ev.h>
 #include <inttypes.h>
@@ -29,27 +30,29 @@
 
 /* All starts of one task. */
 struct start {
-    char *name; /* customer, key, index */
+    char *name; /* "customer key index" */
     unsigned count;
-    uint64_t first_ms;
+    uint64_t first_ms; /* boot clock */
     UT_hash_handle hh;
 };
 
+/* A running task. */
 struct task {
     char ref[20];
-    struct web_req *r;
+    struct web_req *r; /* NULL after the caller disconnected */
     ev_timer timer;
     char *name;
     char kind[64];
-    uint64_t lease_until;
-    unsigned ms;
-    size_t size;
+    uint64_t lease_until; /* ms, boot clock */
+    unsigned ms;          /* run time */
+    size_t size;          /* least size of the answer in bytes */
     bool fail;
     UT_hash_handle hh;
 };
 
+/* The resource use of a task that ended. */
 struct usage {
-    uint64_t ms;
+    uint64_t ms; /* end of the task, boot clock */
     char kind[64];
     unsigned millicores;
     unsigned memory_mb;
@@ -59,20 +62,20 @@
 static struct httpc *http;
 static struct start *starts;
 static struct task *tasks;
-static struct usage usages[USAGE_MAX];
+static struct usage usages[USAGE_MAX]; /* ring buffer */
 static size_t usage_count;
 static unsigned port;
 static unsigned agent_port;
 static unsigned slots = 8;
-static bool fail_all;
+static bool fail_tasks;
 static bool leaving;
-static bool hang;
+static bool hang_tasks;
 static bool ignore_leases;
-static uint64_t total;
-static uint64_t doubles;
-static uint64_t ended;
-static uint64_t cut; /* callers that went away before their answer */
-static uint64_t lapsed;
+static uint64_t start_total;
+static uint64_t repeated_starts;
+static uint64_t ended_total;
+static uint64_t disconnects; /* callers that closed before their answer */
+static uint64_t lapsed_total;
 static size_t running_max;
 
 static uint64_t
@@ -97,8 +100,8 @@
         HASH_ADD_KEYPTR(hh, starts, s->name, strlen(s->name), s);
     }
     s->count++;
-    total++;
-    doubles += s->count > 1;
+    start_total++;
+    repeated_starts += s->count > 1;
 }
 
 static void
@@ -116,39 +119,39 @@
         web_set_ctx(t->r, NULL);
         web_reply(t->r, status, "text/plain", buf_str(&b), 0);
     }
-    ended++;
+    ended_total++;
     buf_free(&b);
     free(t->name);
     free(t);
 }
 
 static void
-note_usage(const struct task *t)
+record_usage(const struct task *t)
 {
     struct usage *u = &usages[usage_count % USAGE_MAX];
 
     u->ms = now_ms();
     str_copy(u->kind, sizeof(u->kind), str_of(t->kind));
-    /* Kinds named big-* use more than is declared for them. */
+    /* Kinds named big-* use more than they declare. */
     u->millicores = strncmp(t->kind, "big", 3) == 0 ? 16000 : 500;
     u->memory_mb = strncmp(t->kind, "big", 3) == 0 ? 32768 : 64;
     usage_count++;
 }
 
 static void
-on_done(struct ev_loop *l, ev_timer *w, int revents)
+on_task_timer(struct ev_loop *l, ev_timer *w, int revents)
 {
     struct task *t = w->data;
     char body[512];
 
     (void)l;
     (void)revents;
-    if (hang) {
+    if (hang_tasks) {
         return;
     }
-    note_usage(t);
+    record_usage(t);
     snprintf(body, sizeof(body), "ran %s", t->name);
-    end_task(t, t->fail || fail_all ? 500 : 200, body);
+    end_task(t, t->fail || fail_tasks ? 500 : 200, body);
 }
 
 static const char *
@@ -173,7 +176,7 @@
 }
 
 static void
-run(struct web_req *r)
+start_task(struct web_req *r)
 {
     struct task *t = dw_zero(1, sizeof(*t));
     struct buf name = {0};
@@ -192,15 +195,15 @@
         running_max = HASH_COUNT(tasks);
     }
     web_set_ctx(r, t);
-    ev_timer_init(&t->timer, on_done, t->ms / 1000.0, 0.0);
+    ev_timer_init(&t->timer, on_task_timer, t->ms / 1000.0, 0.0);
     t->timer.data = t;
     ev_timer_start(loop, &t->timer);
 }
 
-/* --- the worker's side --- */
+/* --- worker interface --- */
 
 static void
-renew(struct web_req *r)
+renew_leases(struct web_req *r)
 {
     struct str body = web_body(r);
     json_t *o = json_loadb(body.p, body.n, 0, NULL);
@@ -222,7 +225,7 @@
 }
 
 static void
-stop(struct web_req *r, const char *ref)
+stop_task(struct web_req *r, const char *ref)
 {
     struct task *t;
 
@@ -239,11 +242,12 @@
     const char *since = web_query(r, "since");
     size_t i = since != NULL ? strtoul(since, NULL, 10) : 0;
     struct buf b = {0};
-    uint64_t ripe = now_ms() - USAGE_LAG_MS;
+    uint64_t reportable_until = now_ms() - USAGE_LAG_MS;
     bool first = true;
 
     buf_add(&b, STR("{\"usage\":["));
-    for (; i < usage_count && usages[i % USAGE_MAX].ms <= ripe; i++) {
+    for (; i < usage_count && usages[i % USAGE_MAX].ms <= reportable_until;
+         i++) {
         const struct usage *u = &usages[i % USAGE_MAX];
 
         buf_addf(&b, "%s{\"kind\":\"%s\",\"millicores\":%u,\"memory_mb\":%u}",
@@ -256,14 +260,14 @@
 }
 
 static void
-lapse_leases(void)
+expire_leases(void)
 {
     struct task *t;
     struct task *tmp;
 
     HASH_ITER (hh, tasks, t, tmp) {
         if (!ignore_leases && now_ms() > t->lease_until) {
-            lapsed++;
+            lapsed_total++;
             end_task(t, 410, "lease lapsed");
         }
     }
@@ -299,15 +303,16 @@
 {
     struct buf b = {0};
 
-    set_switch(r, "fail", &fail_all);
+    set_switch(r, "fail", &fail_tasks);
     set_switch(r, "leave", &leaving);
-    set_switch(r, "hang", &hang);
+    set_switch(r, "hang", &hang_tasks);
     set_switch(r, "no_lease", &ignore_leases);
     buf_addf(&b,
         "{\"total\":%" PRIu64 ",\"doubles\":%" PRIu64 ",\"ended\":%" PRIu64
         ",\"cut\":%" PRIu64 ",\"lapsed\":%" PRIu64
         ",\"running\":%u,\"running_max\":%zu}",
-        total, doubles, ended, cut, lapsed, HASH_COUNT(tasks), running_max);
+        start_total, repeated_starts, ended_total, disconnects, lapsed_total,
+        HASH_COUNT(tasks), running_max);
     web_reply(r, 200, "application/json", buf_str(&b), 0);
     buf_free(&b);
 }
@@ -319,13 +324,13 @@
 
     (void)ctx;
     if (strcmp(path, "/run") == 0) {
-        run(r);
+        start_task(r);
     }
     else if (strcmp(path, "/leases") == 0) {
-        renew(r);
+        renew_leases(r);
     }
     else if (strncmp(path, "/stop/", 6) == 0) {
-        stop(r, path + 6);
+        stop_task(r, path + 6);
     }
     else if (strcmp(path, "/usage") == 0) {
         report_usage(r);
@@ -339,19 +344,19 @@
 }
 
 static void
-gone(void *ctx, struct web_req *r)
+on_disconnect(void *ctx, struct web_req *r)
 {
     struct task *t = web_ctx(r);
 
     (void)ctx;
-    cut++;
+    disconnects++;
     if (t != NULL) {
         t->r = NULL;
     }
 }
 
 static void
-announced(void *ctx, const struct httpc_done *d)
+ignore_reply(void *ctx, const struct httpc_done *d)
 {
     (void)ctx;
     (void)d;
@@ -367,7 +372,7 @@
     (void)l;
     (void)w;
     (void)revents;
-    lapse_leases();
+    expire_leases();
     buf_addf(&url, "http://127.0.0.1:%u/v1/backend", agent_port);
     buf_addf(
         &body, "{\"url\":\"http://127.0.0.1:%u\",\"slots\":%u}", port, slots);
@@ -375,7 +380,7 @@
     call.url = url.p;
     call.body = buf_str(&body);
     call.timeout_ms = 2000;
-    call.done = announced;
+    call.done = ignore_reply;
     httpc_start(http, &call);
     buf_free(&url);
     buf_free(&body);
@@ -400,7 +405,7 @@
     cfg.port = (uint16_t)port;
     loop = ev_default_loop(0);
     http = httpc_new(loop, 4);
-    if (web_open(&w, loop, &cfg, handle, gone, NULL, &e) != WEB_OK) {
+    if (web_open(&w, loop, &cfg, handle, on_disconnect, NULL, &e) != WEB_OK) {
         fprintf(stderr, "fake-backend: %s\n", e.msg);
         return 1;
     }
--- a/test/fake-store.c
+++ b/test/fake-store.c
@@ -1,11 +1,12 @@
 /*
- * fake-store - a stand-in for the platform's key-value service
+ * fake-store - a stand-in for the platform's key-value store
  *
  * Speaks the part of the etcd v3 JSON gateway that dunlinweir uses: range,
  * txn with compare on mod_revision, watch.  POST /control?down=1&slow_ms=50
- * &lose=300 sets switches (lose: of 1000 transactions, so many take effect
- * and lose their answer); GET /control tells the switches and the calls
- * counted.
+ * &lose=300 sets switches: down drops all requests, slow_ms delays the
+ * replies, and lose is the share in permille of transactions that take effect
+ * but whose reply is dropped.  GET /control returns the switches and the
+ * request counts.
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -27,36 +28,38 @@
 #define EVENTS_MAX 65536
 
 struct kv {
-    char *key; /* as base64, which the gateway speaks */
-    char *value;
-    uint64_t mod;
-    uint64_t created;
+    char *key;        /* base64, as the gateway sends it */
+    char *value;      /* base64 */
+    uint64_t mod;     /* revision of the last change */
+    uint64_t created; /* revision of the creation */
 };
 
+/* A change of a key, for watches. */
 struct event {
     uint64_t rev;
-    char *key;
+    char *key; /* base64 */
 };
 
+/* The body of a request, as far as received. */
 struct body {
     struct buf b;
 };
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_cond_t changed = PTHREAD_COND_INITIALIZER;
-static struct kv *kvs[KEYS_MAX];
+static struct kv *items[KEYS_MAX];
 static size_t kv_count;
 static struct event events[EVENTS_MAX];
 static size_t event_count;
 static uint64_t revision = 1;
 static unsigned down;
 static unsigned slow_ms;
-static unsigned lose;
-static unsigned seed = 1;
-static uint64_t reads;
-static uint64_t txns;
-static uint64_t watches;
-static uint64_t lost;
+static unsigned lose_permille;
+static unsigned random_state = 1;
+static uint64_t range_count;
+static uint64_t txn_count;
+static uint64_t watch_count;
+static uint64_t lost_answers;
 
 static struct str
 decode(const char *z, char *out, size_t cap)
@@ -76,8 +79,8 @@
 find(const char *key)
 {
     for (size_t i = 0; i < kv_count; i++) {
-        if (strcmp(kvs[i]->key, key) == 0) {
-            return kvs[i];
+        if (strcmp(items[i]->key, key) == 0) {
+            return items[i];
         }
     }
     return NULL;
@@ -108,7 +111,7 @@
         kv = dw_zero(1, sizeof(*kv));
         kv->key = str_dup(str_of(key));
         kv->created = revision;
-        kvs[kv_count++] = kv;
+        items[kv_count++] = kv;
     }
     free(kv->value);
     kv->value = str_dup(str_of(value));
@@ -120,18 +123,18 @@
 delete_key(const char *key)
 {
     for (size_t i = 0; i < kv_count; i++) {
-        if (strcmp(kvs[i]->key, key) == 0) {
+        if (strcmp(items[i]->key, key) == 0) {
             add_event(key);
-            free(kvs[i]->key);
-            free(kvs[i]->value);
-            free(kvs[i]);
-            kvs[i] = kvs[--kv_count];
+            free(items[i]->key);
+            free(items[i]->value);
+            free(items[i]);
+            items[i] = items[--kv_count];
             return;
         }
     }
 }
 
-/* --- calls --- */
+/* --- requests --- */
 
 static json_t *
 header(void)
@@ -176,17 +179,17 @@
     struct str to = decode(end, to_bytes, sizeof(to_bytes));
     json_t *list = json_array();
 
-    reads++;
+    range_count++;
     for (size_t i = 0; i < kv_count; i++) {
-        if (in_range(kvs[i]->key, from, to)) {
-            json_array_append_new(list, kv_json(kvs[i]));
+        if (in_range(items[i]->key, from, to)) {
+            json_array_append_new(list, kv_json(items[i]));
         }
     }
     return json_pack("{s:o, s:o}", "header", header(), "kvs", list);
 }
 
 static bool
-compares(json_t *list)
+conditions_hold(json_t *list)
 {
     size_t i;
     json_t *c;
@@ -229,25 +232,25 @@
 static json_t *
 txn(json_t *in)
 {
-    bool ok = compares(json_object_get(in, "compare"));
+    bool ok = conditions_hold(json_object_get(in, "compare"));
 
-    txns++;
+    txn_count++;
     if (ok) {
         apply(json_object_get(in, "success"));
     }
     return json_pack("{s:o, s:b}", "header", header(), "succeeded", ok);
 }
 
-/* --- watching --- */
+/* --- watches --- */
 
 struct watcher {
-    uint64_t seen;
+    uint64_t seen; /* revision up to which events are in pending */
     char from_bytes[512];
     char to_bytes[512];
     struct str from;
     struct str to;
     struct buf pending;
-    size_t done;
+    size_t done; /* bytes of pending already sent */
 };
 
 static void
@@ -278,7 +281,7 @@
 }
 
 static ssize_t
-stream(void *ctx, uint64_t pos, char *out, size_t max)
+read_watch(void *ctx, uint64_t pos, char *out, size_t max)
 {
     struct watcher *w = ctx;
     struct timespec until;
@@ -310,7 +313,7 @@
 }
 
 static void
-end_watch(void *ctx)
+free_watcher(void *ctx)
 {
     struct watcher *w = ctx;
 
@@ -331,12 +334,12 @@
     w->to = decode(json_string_value(json_object_get(create, "range_end")),
         w->to_bytes, sizeof(w->to_bytes));
     pthread_mutex_lock(&lock);
-    watches++;
+    watch_count++;
     w->seen = revision;
     pthread_mutex_unlock(&lock);
     buf_add(&w->pending, STR("{\"result\":{\"created\":true}}\n"));
     r = MHD_create_response_from_callback(
-        MHD_SIZE_UNKNOWN, 65536, stream, w, end_watch);
+        MHD_SIZE_UNKNOWN, 65536, read_watch, w, free_watcher);
     res = MHD_queue_response(conn, 200, r);
     MHD_destroy_response(r);
     return res;
@@ -379,13 +382,14 @@
     if (strcmp(method, "POST") == 0) {
         set_switch(conn, "down", &down);
         set_switch(conn, "slow_ms", &slow_ms);
-        set_switch(conn, "lose", &lose);
+        set_switch(conn, "lose", &lose_permille);
         pthread_cond_broadcast(&changed);
     }
     o = json_pack("{s:i,s:i,s:i,s:I,s:I,s:I,s:I,s:I}", "down", (int)down,
-        "slow_ms", (int)slow_ms, "lose", (int)lose, "reads", (json_int_t)reads,
-        "txns", (json_int_t)txns, "watches", (json_int_t)watches, "lost",
-        (json_int_t)lost, "revision", (json_int_t)revision);
+        "slow_ms", (int)slow_ms, "lose", (int)lose_permille, "reads",
+        (json_int_t)range_count, "txns", (json_int_t)txn_count, "watches",
+        (json_int_t)watch_count, "lost", (json_int_t)lost_answers, "revision",
+        (json_int_t)revision);
     pthread_mutex_unlock(&lock);
     return reply(conn, o);
 }
@@ -394,7 +398,7 @@
 call(struct MHD_Connection *conn, const char *url, json_t *in)
 {
     json_t *o = NULL;
-    bool lose_this = false;
+    bool lose_answer = false;
     unsigned delay;
 
     pthread_mutex_lock(&lock);
@@ -407,15 +411,15 @@
     }
     else if (strcmp(url, "/v3/kv/txn") == 0) {
         o = txn(in);
-        lose_this = (unsigned)rand_r(&seed) % 1000 < lose;
-        lost += lose_this;
+        lose_answer = (unsigned)rand_r(&random_state) % 1000 < lose_permille;
+        lost_answers += lose_answer;
     }
     delay = slow_ms;
     pthread_mutex_unlock(&lock);
     if (delay > 0) {
         usleep(delay * 1000);
     }
-    if (o == NULL || lose_this) {
+    if (o == NULL || lose_answer) {
         json_decref(o);
         return MHD_NO;
     }
@@ -453,14 +457,14 @@
 }
 
 static void
-on_end(void *ctx, struct MHD_Connection *conn, void **req,
-    enum MHD_RequestTerminationCode how)
+on_request_end(void *ctx, struct MHD_Connection *conn, void **req,
+    enum MHD_RequestTerminationCode reason)
 {
     struct body *b = *req;
 
     (void)ctx;
     (void)conn;
-    (void)how;
+    (void)reason;
     if (b != NULL) {
         buf_free(&b->b);
         free(b);
@@ -491,9 +495,9 @@
     d = MHD_start_daemon(
         MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_THREAD_PER_CONNECTION,
         (uint16_t)port, NULL, NULL, on_access, NULL, MHD_OPTION_SOCK_ADDR,
-        (struct sockaddr *)&sa, MHD_OPTION_NOTIFY_COMPLETED, on_end, NULL,
-        MHD_OPTION_CONNECTION_LIMIT, 2000U, MHD_OPTION_LISTENING_ADDRESS_REUSE,
-        1U, MHD_OPTION_END);
+        (struct sockaddr *)&sa, MHD_OPTION_NOTIFY_COMPLETED, on_request_end,
+        NULL, MHD_OPTION_CONNECTION_LIMIT, 2000U,
+        MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
     if (d == NULL) {
         fprintf(stderr, "fake-store: port %u: %s\n", port, strerror(errno));
         return 1;
