--- a/test/soak-proxy.c
+++ b/test/soak-proxy.c
@@ -1,4 +1,4 @@
-/* A loopback proxy that resets, delays or silences what passes. */
+/* A loopback proxy that resets, delays or silences connections. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -14,19 +14,20 @@
 
 #define SLOW_S 0.02
 
-/* One direction of a pair. */
-struct half {
+/* One direction of a proxied connection. */
+struct direction {
     ev_io io;
-    ev_timer later;
+    ev_timer delayed_read;
     int from;
     int to;
-    bool deaf; /* stays silent for good */
-    bool back; /* from the agent to the entry */
+    bool dropping;  /* drops all bytes from now on */
+    bool to_client; /* from the server to the client */
     struct pair *pair;
 };
 
+/* A client's connection and the proxy's own to the server. */
 struct pair {
-    struct half halves[2];
+    struct direction directions[2];
     struct proxy *proxy;
     struct pair *prev;
     struct pair *next;
@@ -44,16 +45,16 @@
 static void
 free_pair(struct pair *p, bool reset)
 {
-    struct linger hard = {1, 0};
+    struct linger abort_on_close = {1, 0};
 
     for (int i = 0; i < 2; i++) {
-        ev_io_stop(p->proxy->loop, &p->halves[i].io);
-        ev_timer_stop(p->proxy->loop, &p->halves[i].later);
+        ev_io_stop(p->proxy->loop, &p->directions[i].io);
+        ev_timer_stop(p->proxy->loop, &p->directions[i].delayed_read);
         if (reset) {
-            setsockopt(
-                p->halves[i].from, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
+            setsockopt(p->directions[i].from, SOL_SOCKET, SO_LINGER,
+                &abort_on_close, sizeof(abort_on_close));
         }
-        close(p->halves[i].from);
+        close(p->directions[i].from);
     }
     if (p->prev != NULL) {
         p->prev->next = p->next;
@@ -68,87 +69,87 @@
 }
 
 static bool
-is_silent(const struct half *h)
+drops_bytes(const struct direction *d)
 {
-    enum proxy_mode mode = h->pair->proxy->mode;
+    enum proxy_mode mode = d->pair->proxy->mode;
 
-    return h->deaf || mode == PROXY_SILENT ||
-           (mode == PROXY_ONE_WAY && h->back);
+    return d->dropping || mode == PROXY_SILENT ||
+           (mode == PROXY_ONE_WAY && d->to_client);
 }
 
-/* Bytes of a silent direction are taken and lost, as by something between
- * that has lost track of the connection. */
+/* Bytes of a silent direction are read and dropped, as by a middlebox that has
+ * lost the state of the connection. */
 static void
-move(struct half *h)
+forward_bytes(struct direction *d)
 {
     char bytes[65536];
-    ssize_t n = recv(h->from, bytes, sizeof(bytes), MSG_DONTWAIT);
-    ssize_t done = 0;
+    ssize_t n = recv(d->from, bytes, sizeof(bytes), MSG_DONTWAIT);
+    ssize_t written = 0;
 
     if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
     }
     if (n <= 0) {
-        free_pair(h->pair, n < 0);
+        free_pair(d->pair, n < 0);
         return;
     }
-    if (is_silent(h)) {
-        h->deaf = true;
+    if (drops_bytes(d)) {
+        d->dropping = true;
         return;
     }
-    while (done < n) {
+    while (written < n) {
         ssize_t sent =
-            send(h->to, bytes + done, (size_t)(n - done), MSG_NOSIGNAL);
+            send(d->to, bytes + written, (size_t)(n - written), MSG_NOSIGNAL);
 
         if (sent <= 0) {
-            free_pair(h->pair, true);
+            free_pair(d->pair, true);
             return;
         }
-        done += sent;
+        written += sent;
     }
 }
 
 static void
-on_later(struct ev_loop *loop, ev_timer *t, int revents)
+on_delayed_read(struct ev_loop *loop, ev_timer *t, int revents)
 {
-    struct half *h = t->data;
+    struct direction *d = t->data;
 
     (void)revents;
-    ev_io_start(loop, &h->io);
-    move(h);
+    ev_io_start(loop, &d->io);
+    forward_bytes(d);
 }
 
 static void
 on_io(struct ev_loop *loop, ev_io *io, int revents)
 {
-    struct half *h = io->data;
+    struct direction *d = io->data;
 
     (void)revents;
-    if (h->pair->proxy->mode == PROXY_SLOW) {
+    if (d->pair->proxy->mode == PROXY_SLOW) {
         ev_io_stop(loop, io);
-        ev_timer_set(&h->later, SLOW_S, 0);
-        ev_timer_start(loop, &h->later);
+        ev_timer_set(&d->delayed_read, SLOW_S, 0);
+        ev_timer_start(loop, &d->delayed_read);
         return;
     }
-    move(h);
+    forward_bytes(d);
 }
 
 static void
 init_half(struct proxy *p, struct pair *pair, int i, int from, int to)
 {
-    struct half *h = &pair->halves[i];
+    struct direction *d = &pair->directions[i];
     int one = 1;
 
-    h->from = from;
-    h->to = to;
-    h->pair = pair;
-    h->back = i == 1;
+    d->from = from;
+    d->to = to;
+    d->pair = pair;
+    d->to_client = i == 1;
     setsockopt(from, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
-    ev_io_init(&h->io, on_io, from, EV_READ);
-    h->io.data = h;
-    ev_init(&h->later, on_later);
-    h->later.data = h;
-    ev_io_start(p->loop, &h->io);
+    ev_io_init(&d->io, on_io, from, EV_READ);
+    d->io.data = d;
+    ev_init(&d->delayed_read, on_delayed_read);
+    d->delayed_read.data = d;
+    ev_io_start(p->loop, &d->io);
 }
 
 static struct sockaddr_in
@@ -162,30 +163,32 @@
     return sa;
 }
 
-/* A dead agent's port refuses; so must the proxy's, as that is a proof. */
+/* If the server refuses the connection, the client's is reset: a refusal
+ * proves to an entry that the server is dead. */
 static void
 on_accept(struct ev_loop *loop, ev_io *io, int revents)
 {
     struct proxy *p = io->data;
-    int in = accept4(p->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    int client = accept4(p->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
     struct sockaddr_in sa = address(p->to);
-    struct linger hard = {1, 0};
+    struct linger abort_on_close = {1, 0};
     struct pair *pair;
-    int out;
+    int server;
 
     (void)loop;
     (void)revents;
-    if (in < 0) {
+    if (client < 0) {
         return;
     }
-    out = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    if (connect(out, (struct sockaddr *)&sa, sizeof(sa)) != 0) {
-        setsockopt(in, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
-        close(in);
-        close(out);
+    server = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    if (connect(server, (struct sockaddr *)&sa, sizeof(sa)) != 0) {
+        setsockopt(client, SOL_SOCKET, SO_LINGER, &abort_on_close,
+            sizeof(abort_on_close));
+        close(client);
+        close(server);
         return;
     }
-    fcntl(out, F_SETFL, O_NONBLOCK);
+    fcntl(server, F_SETFL, O_NONBLOCK);
     pair = dw_zero(1, sizeof(*pair));
     pair->proxy = p;
     pair->next = p->pairs;
@@ -193,12 +196,12 @@
         pair->next->prev = pair;
     }
     p->pairs = pair;
-    init_half(p, pair, 0, in, out);
-    init_half(p, pair, 1, out, in);
+    init_half(p, pair, 0, client, server);
+    init_half(p, pair, 1, server, client);
 }
 
 void
-px_mode(struct proxy *p, enum proxy_mode mode)
+px_set_mode(struct proxy *p, enum proxy_mode mode)
 {
     p->mode = mode;
 }
--- a/test/soak-store.c
+++ b/test/soak-store.c
@@ -1,4 +1,5 @@
-/* The platform's key-value store, as its pages tell it. */
+/* A stand-in for the platform's key-value store, as its documentation
+ * describes it. */
 #include <inttypes.h>
 #include <jansson.h>
 #include <nettle/base64.h>
@@ -23,34 +24,35 @@
 };
 
 struct lease {
-    uint64_t id;
+    uint64_t id; /* 0: unused */
     uint64_t ttl_ms;
     uint64_t ends_ms;
 };
 
+/* A long poll for events that has no answer yet. */
 struct watch {
     struct web_req *r;
     char prefix[128];
-    uint64_t after;
+    uint64_t after; /* revision */
     uint64_t until_ms;
 };
 
 struct fake_store {
     struct web *web;
     enum store_mode mode;
-    int32_t proxy_offset;
+    int32_t proxy_offset; /* from an agent's port to its proxy's */
     uint64_t now;
     uint64_t rev;
     uint64_t next_lease;
     struct item items[ITEMS_MAX];
     size_t item_count;
-    struct item events[EVENTS_MAX]; /* a ring; values are copies */
+    struct item events[EVENTS_MAX]; /* ring buffer with copies of the values */
     size_t event_count;
     struct lease leases[LEASES_MAX];
     size_t lease_count;
     struct watch watches[WATCHES_MAX];
     size_t watch_count;
-    struct web_req *silent[WATCHES_MAX];
+    struct web_req *silent[WATCHES_MAX]; /* held back in STORE_SILENT */
     size_t silent_count;
 };
 
@@ -64,10 +66,10 @@
     json_decref(o);
 }
 
-/* --- what is kept --- */
+/* --- items --- */
 
 static struct item *
-find(struct fake_store *f, const char *key)
+find_item(struct fake_store *f, const char *key)
 {
     for (size_t i = 0; i < f->item_count; i++) {
         if (!f->items[i].deleted && strcmp(f->items[i].key, key) == 0) {
@@ -78,7 +80,7 @@
 }
 
 static void
-note_event(struct fake_store *f, const struct item *it)
+record_event(struct fake_store *f, const struct item *it)
 {
     struct item *e = &f->events[f->event_count++ % EVENTS_MAX];
 
@@ -105,9 +107,10 @@
 }
 
 static void
-put(struct fake_store *f, const char *key, const char *base64, uint64_t lease)
+put_item(
+    struct fake_store *f, const char *key, const char *base64, uint64_t lease)
 {
-    struct item *it = find(f, key);
+    struct item *it = find_item(f, key);
 
     if (it == NULL) {
         it = new_item(f);
@@ -118,20 +121,20 @@
     it->value = str_dup(str_of(base64));
     it->rev = f->rev;
     it->lease = lease;
-    note_event(f, it);
+    record_event(f, it);
 }
 
 static void
-drop(struct fake_store *f, const char *key)
+delete_item(struct fake_store *f, const char *key)
 {
-    struct item *it = find(f, key);
+    struct item *it = find_item(f, key);
 
     if (it != NULL) {
         it->deleted = true;
         it->rev = f->rev;
         free(it->value);
         it->value = NULL;
-        note_event(f, it);
+        record_event(f, it);
     }
 }
 
@@ -143,7 +146,7 @@
 
     base64_encode_raw(text, n, (const uint8_t *)value);
     f->rev++;
-    put(f, key, text, 0);
+    put_item(f, key, text, 0);
     free(text);
 }
 
@@ -151,15 +154,16 @@
 fs_remove(struct fake_store *f, const char *key)
 {
     f->rev++;
-    drop(f, key);
+    delete_item(f, key);
 }
 
 /*
- * Entries are shown the proxy's port in place of the agent's, so that their
- * connections pass through it.  The agent itself is shown what it wrote.
+ * The value with the agent's port replaced by its proxy's, so that connections
+ * of entries pass through the proxy.  An agent that reads its own key gets the
+ * value as it wrote it.
  */
 static json_t *
-shown_value(const struct fake_store *f, const struct item *it)
+proxied_value(const struct fake_store *f, const struct item *it)
 {
     char text[512] = "";
     char out[600];
@@ -189,7 +193,7 @@
 }
 
 static json_t *
-item_json(const struct fake_store *f, const struct item *it, bool own)
+item_json(const struct fake_store *f, const struct item *it, bool exact)
 {
     json_t *o = json_object();
 
@@ -200,20 +204,20 @@
         return o;
     }
     json_object_set_new(
-        o, "value", own ? json_string(it->value) : shown_value(f, it));
+        o, "value", exact ? json_string(it->value) : proxied_value(f, it));
     json_object_set_new(
         o, "create_rev", json_integer((json_int_t)it->create_rev));
     json_object_set_new(o, "lease", json_integer((json_int_t)it->lease));
     return o;
 }
 
-/* --- calls --- */
+/* --- requests --- */
 
 static void
 get_key(struct fake_store *f, struct web_req *r)
 {
     const char *key = web_query(r, "key");
-    struct item *it = key != NULL ? find(f, key) : NULL;
+    struct item *it = key != NULL ? find_item(f, key) : NULL;
     json_t *o;
 
     if (it == NULL) {
@@ -244,7 +248,7 @@
 }
 
 static bool
-answer_watch(struct fake_store *f, const struct watch *w, bool anyway)
+answer_watch(struct fake_store *f, const struct watch *w, bool even_if_empty)
 {
     json_t *rows = json_array();
     size_t first =
@@ -258,7 +262,7 @@
             json_array_append_new(rows, item_json(f, e, false));
         }
     }
-    if (json_array_size(rows) == 0 && !anyway) {
+    if (json_array_size(rows) == 0 && !even_if_empty) {
         json_decref(rows);
         return false;
     }
@@ -269,7 +273,7 @@
 }
 
 static void
-watch(struct fake_store *f, struct web_req *r)
+start_watch(struct fake_store *f, struct web_req *r)
 {
     struct watch w = {.r = r};
 
@@ -286,7 +290,7 @@
 }
 
 static void
-txn(struct fake_store *f, struct web_req *r)
+run_txn(struct fake_store *f, struct web_req *r)
 {
     struct str body = web_body(r);
     json_t *o = json_loadb(body.p, body.n, 0, NULL);
@@ -295,19 +299,19 @@
 
     f->rev++;
     json_array_foreach (json_object_get(o, "puts"), i, row) {
-        put(f, json_string_value(json_object_get(row, "key")),
+        put_item(f, json_string_value(json_object_get(row, "key")),
             json_string_value(json_object_get(row, "value")),
             (uint64_t)json_integer_value(json_object_get(row, "lease")));
     }
     json_array_foreach (json_object_get(o, "remove"), i, row) {
-        drop(f, json_string_value(row));
+        delete_item(f, json_string_value(row));
     }
     json_decref(o);
     reply_json(r, 200, json_pack("{s:I}", "revision", (json_int_t)f->rev));
 }
 
 static void
-new_lease(struct fake_store *f, struct web_req *r)
+grant_lease(struct fake_store *f, struct web_req *r)
 {
     struct str body = web_body(r);
     json_t *o = json_loadb(body.p, body.n, 0, NULL);
@@ -323,7 +327,7 @@
 }
 
 static void
-keep(struct fake_store *f, struct web_req *r, uint64_t id)
+renew_lease(struct fake_store *f, struct web_req *r, uint64_t id)
 {
     for (size_t i = 0; i < LEASES_MAX; i++) {
         struct lease *l = &f->leases[i];
@@ -345,9 +349,9 @@
 } calls[] = {
     {BASE "key", get_key},
     {BASE "range", get_range},
-    {BASE "watch", watch},
-    {BASE "txn", txn},
-    {BASE "lease", new_lease},
+    {BASE "watch", start_watch},
+    {BASE "txn", run_txn},
+    {BASE "lease", grant_lease},
 };
 
 static void
@@ -370,14 +374,15 @@
         }
     }
     if (strncmp(web_path(r), BASE "keep/", sizeof(BASE "keep/") - 1) == 0) {
-        keep(f, r, strtoull(web_path(r) + sizeof(BASE "keep/") - 1, NULL, 10));
+        renew_lease(
+            f, r, strtoull(web_path(r) + sizeof(BASE "keep/") - 1, NULL, 10));
         return;
     }
     web_reply(r, 404, "application/json", STR("{}"), 0);
 }
 
 static void
-on_gone(void *ctx, struct web_req *r)
+on_disconnect(void *ctx, struct web_req *r)
 {
     struct fake_store *f = ctx;
 
@@ -395,9 +400,10 @@
     }
 }
 
-/* Requests that got no answer never get one: they are refused at the end. */
+/* Requests held back are not carried out: they are refused when the mode
+ * changes. */
 static void
-end_silence(struct fake_store *f)
+refuse_silent(struct fake_store *f)
 {
     while (f->silent_count > 0) {
         struct web_req *r = f->silent[--f->silent_count];
@@ -407,16 +413,16 @@
 }
 
 void
-fs_mode(struct fake_store *f, enum store_mode mode)
+fs_set_mode(struct fake_store *f, enum store_mode mode)
 {
     f->mode = mode;
     if (mode != STORE_SILENT) {
-        end_silence(f);
+        refuse_silent(f);
     }
 }
 
 static void
-end_leases(struct fake_store *f)
+expire_leases(struct fake_store *f)
 {
     for (size_t i = 0; i < LEASES_MAX; i++) {
         struct lease *l = &f->leases[i];
@@ -427,7 +433,7 @@
         f->rev++;
         for (size_t k = 0; k < f->item_count; k++) {
             if (!f->items[k].deleted && f->items[k].lease == l->id) {
-                drop(f, f->items[k].key);
+                delete_item(f, f->items[k].key);
             }
         }
         l->id = 0;
@@ -441,12 +447,12 @@
     if (f->mode != STORE_SERVES) {
         return;
     }
-    end_leases(f);
+    expire_leases(f);
     for (size_t i = 0; i < f->watch_count;) {
         struct watch w = f->watches[i];
 
         if (answer_watch(f, &w, now >= w.until_ms)) {
-            /* The answer may have taken others off the list. */
+            /* Sending the answer may have removed other watches. */
             for (size_t k = 0; k < f->watch_count; k++) {
                 if (f->watches[k].r == w.r) {
                     f->watches[k] = f->watches[--f->watch_count];
@@ -469,7 +475,8 @@
 
     f->rev = 1;
     f->proxy_offset = proxy_offset;
-    if (web_open(&f->web, loop, &cfg, on_request, on_gone, f, &e) != WEB_OK) {
+    if (web_open(&f->web, loop, &cfg, on_request, on_disconnect, f, &e) !=
+        WEB_OK) {
         fprintf(stderr, "soak: %s\n", e.msg);
         exit(2);
     }
@@ -484,7 +491,7 @@
 
         web_reply(w.r, 503, "application/json", STR("{}"), 0);
     }
-    end_silence(f);
+    refuse_silent(f);
     web_close(f->web);
     for (size_t i = 0; i < ITEMS_MAX; i++) {
         free(f->items[i].value);
--- a/test/soak-worker.c
+++ b/test/soak-worker.c
@@ -1,5 +1,7 @@
-/* A worker, as the platform's pages tell it: runs under one lease, stops,
- * ends listed until acknowledged, a fence, a new life after a crash. */
+/* A stand-in for a worker, as the platform's documentation describes it: all
+ * runs are under one lease, outcomes are listed until acknowledged, orders
+ * with an old fencing number are refused, and a crash begins a new
+ * incarnation. */
 #include <inttypes.h>
 #include <jansson.h>
 #include <stdio.h>
@@ -10,13 +12,13 @@
 #include "soak.h"
 
 #define RUNS_MAX 64
-#define ENDS_MAX 512
+#define OUTCOMES_MAX 512
 #define PAST_MAX 1024
-#define WAITS_MAX 16
-#define LATER_MAX 64
-#define MILLICORES 16000
+#define POLLS_MAX 16
+#define DELAYED_MAX 64
+#define WORKER_MILLICORES 16000
 #define LEASE_MAX_MS 1000U
-#define STOP_MS 50U
+#define STOP_MAX_MS 50U
 
 struct task {
     uint64_t job;
@@ -25,29 +27,31 @@
 
 struct run {
     struct task task;
-    uint64_t run;
+    uint64_t run; /* run number; rises with each run of the task */
     uint32_t millicores;
     uint64_t ends_ms;
-    uint64_t begun_ms;
-    bool stopping;
+    uint64_t started_ms;
+    bool stopping; /* a stop was ordered; ends at ends_ms */
 };
 
-struct end {
-    uint64_t number;
+/* How a run ended: "done", "stopped" or "lapsed". */
+struct outcome {
+    uint64_t number; /* compared with ack_cursor */
     struct task task;
     uint64_t run;
-    const char *how;
+    const char *outcome_name;
 };
 
-struct wait {
+/* A long poll that has no answer yet. */
+struct pending_poll {
     struct web_req *r;
     uint64_t until_ms;
 };
 
 /* An order that is carried out late. */
-struct later {
+struct delayed_order {
     uint64_t at_ms;
-    bool stop;
+    bool is_stop;
     char *body;
 };
 
@@ -57,39 +61,40 @@
     const struct fw_events *events;
     void *ctx;
     uint64_t now;
-    uint64_t up_ms; /* down until then */
-    uint64_t born_ms;
-    uint64_t life_ms; /* when this life began, own time */
-    uint64_t until_ms;
-    uint64_t fence;
-    uint64_t seq;
-    uint64_t next_end;
-    uint32_t mute;
-    uint32_t late;
-    uint32_t slow;
+    uint64_t down_until_ms;  /* no request is answered before */
+    uint64_t started_ms;     /* identifies the incarnation to the agent */
+    uint64_t incarnation_ms; /* when it began, clock of the test */
+    uint64_t until_ms;       /* end of the lease, clock of the worker */
+    uint64_t fence;          /* highest fencing number seen */
+    uint64_t seq;            /* of the last heartbeat */
+    uint64_t next_outcome;
+    uint32_t lost_permille;
+    uint32_t late_permille;
+    uint32_t slowdown; /* factor on run times */
     struct run runs[RUNS_MAX];
     size_t run_count;
-    struct end ends[ENDS_MAX];
-    size_t end_count;
-    struct end past[PAST_MAX]; /* stopped or ended here: lower runs refused */
+    struct outcome outcomes[OUTCOMES_MAX];
+    size_t outcome_count;
+    struct outcome
+        past[PAST_MAX]; /* ended or stopped; runs up to these are refused */
     size_t past_count;
-    struct wait waits[WAITS_MAX];
-    size_t wait_count;
-    struct later laters[LATER_MAX];
-    size_t later_count;
-    struct web_req *muted[LATER_MAX];
-    size_t muted_count;
+    struct pending_poll polls[POLLS_MAX];
+    size_t poll_count;
+    struct delayed_order delayed[DELAYED_MAX];
+    size_t delayed_count;
+    struct web_req *unanswered[DELAYED_MAX]; /* never to be answered */
+    size_t unanswered_count;
 };
 
 static uint64_t
-clock_of(const struct fake_worker *w)
+worker_clock_ms(const struct fake_worker *w)
 {
-    /* As slow as it may be. */
-    return 1 + (w->now - w->life_ms) * 98 / 100;
+    /* 2 % slow, the most that is allowed. */
+    return 1 + (w->now - w->incarnation_ms) * 98 / 100;
 }
 
 static bool
-same(const struct task *a, const struct task *b)
+same_task(const struct task *a, const struct task *b)
 {
     return a->job == b->job && a->index == b->index;
 }
@@ -98,7 +103,7 @@
 find(struct fake_worker *w, const struct task *t)
 {
     for (size_t i = 0; i < w->run_count; i++) {
-        if (same(&w->runs[i].task, t)) {
+        if (same_task(&w->runs[i].task, t)) {
             return &w->runs[i];
         }
     }
@@ -106,21 +111,21 @@
 }
 
 static void
-remember(struct fake_worker *w, const struct task *t, uint64_t run)
+record_past(struct fake_worker *w, const struct task *t, uint64_t run)
 {
-    struct end *p = &w->past[w->past_count++ % PAST_MAX];
+    struct outcome *p = &w->past[w->past_count++ % PAST_MAX];
 
     p->task = *t;
     p->run = run;
 }
 
 static uint64_t
-highest(const struct fake_worker *w, const struct task *t)
+highest_past_run(const struct fake_worker *w, const struct task *t)
 {
     uint64_t run = 0;
 
     for (size_t i = 0; i < PAST_MAX; i++) {
-        if (same(&w->past[i].task, t)) {
+        if (same_task(&w->past[i].task, t)) {
             run = num_max(run, w->past[i].run);
         }
     }
@@ -128,24 +133,25 @@
 }
 
 static void
-end_run(struct fake_worker *w, struct run *r, const char *how)
+end_run(struct fake_worker *w, struct run *r, const char *outcome_name)
 {
-    struct end *e = &w->ends[w->end_count < ENDS_MAX ? w->end_count++ : 0];
-    bool done = strcmp(how, "done") == 0;
+    struct outcome *e =
+        &w->outcomes[w->outcome_count < OUTCOMES_MAX ? w->outcome_count++ : 0];
+    bool done = strcmp(outcome_name, "done") == 0;
 
-    e->number = w->next_end++;
+    e->number = w->next_outcome++;
     e->task = r->task;
     e->run = r->run;
-    e->how = how;
-    remember(w, &r->task, r->run);
+    e->outcome_name = outcome_name;
+    record_past(w, &r->task, r->run);
     w->events->end(w->ctx, w, r->task.job, r->task.index, done);
     *r = w->runs[--w->run_count];
 }
 
 static void
-renew(struct fake_worker *w, uint64_t until)
+extend_lease(struct fake_worker *w, uint64_t until)
 {
-    until = num_min(until, clock_of(w) + LEASE_MAX_MS);
+    until = num_min(until, worker_clock_ms(w) + LEASE_MAX_MS);
     w->until_ms = num_max(w->until_ms, until);
 }
 
@@ -190,7 +196,7 @@
 }
 
 static bool
-fenced(struct fake_worker *w, const struct order *o)
+check_fence(struct fake_worker *w, const struct order *o)
 {
     if (o->fence < w->fence) {
         return true;
@@ -202,67 +208,68 @@
 /* --- orders --- */
 
 static void
-check_room(struct fake_worker *w, uint32_t more)
+check_capacity(struct fake_worker *w, uint32_t more)
 {
     uint32_t used = more;
 
     for (size_t i = 0; i < w->run_count; i++) {
         used += w->runs[i].millicores;
     }
-    if (used > MILLICORES) {
-        w->events->broken(w->ctx, "a worker is over its capacity");
+    if (used > WORKER_MILLICORES) {
+        w->events->violation(w->ctx, "a worker is over its capacity");
     }
 }
 
 #define TASK_MILLICORES 2000U
 
-/* The reason of a refusal, NULL if it runs. */
+/* Returns the reason of a refusal, or NULL if the task is running. */
 static const char *
-start(struct fake_worker *w, const struct order *o)
+start_run(struct fake_worker *w, const struct order *o)
 {
     struct run *r = find(w, &o->task);
 
-    if (fenced(w, o)) {
+    if (check_fence(w, o)) {
         return "fence";
     }
-    if (o->until_ms < clock_of(w)) {
+    if (o->until_ms < worker_clock_ms(w)) {
         return "late";
     }
-    renew(w, o->until_ms);
+    extend_lease(w, o->until_ms);
     if (r != NULL) {
         return r->run == o->run ? NULL : "old";
     }
-    if (o->run <= highest(w, &o->task)) {
+    if (o->run <= highest_past_run(w, &o->task)) {
         return "old";
     }
     if (w->run_count == RUNS_MAX) {
         return "room";
     }
-    check_room(w, TASK_MILLICORES);
+    check_capacity(w, TASK_MILLICORES);
     r = &w->runs[w->run_count++];
     memset(r, 0, sizeof(*r));
     r->task = o->task;
     r->run = o->run;
     r->millicores = TASK_MILLICORES;
-    r->begun_ms = w->now;
-    r->ends_ms = w->now + (uint64_t)w->slow * w->events->time(w->ctx,
-                                                  o->task.job, o->task.index);
+    r->started_ms = w->now;
+    r->ends_ms =
+        w->now + (uint64_t)w->slowdown *
+                     w->events->run_ms(w->ctx, o->task.job, o->task.index);
     w->events->start(w->ctx, w, o->task.job, o->task.index);
     return NULL;
 }
 
 static void
-stop(struct fake_worker *w, const struct order *o)
+stop_run(struct fake_worker *w, const struct order *o)
 {
     struct run *r = find(w, &o->task);
 
-    if (fenced(w, o)) {
+    if (check_fence(w, o)) {
         return;
     }
-    remember(w, &o->task, o->run);
+    record_past(w, &o->task, o->run);
     if (r != NULL && r->run <= o->run && !r->stopping) {
         r->stopping = true;
-        r->ends_ms = w->now + soak_random(w->s, STOP_MS);
+        r->ends_ms = w->now + soak_random(w->s, STOP_MAX_MS);
     }
 }
 
@@ -271,7 +278,7 @@
 {
     struct buf b = {0};
 
-    buf_addf(&b, "{\"clock_ms\":%" PRIu64 "%s%s%s}", clock_of(w),
+    buf_addf(&b, "{\"clock_ms\":%" PRIu64 "%s%s%s}", worker_clock_ms(w),
         reason != NULL ? ",\"reason\":\"" : "", reason != NULL ? reason : "",
         reason != NULL ? "\"" : "");
     web_reply(
@@ -289,15 +296,15 @@
 }
 
 static uint32_t
-percent(const struct fake_worker *w, const struct run *r)
+progress_percent(const struct fake_worker *w, const struct run *r)
 {
-    uint64_t whole = num_max(r->ends_ms - r->begun_ms, 1);
+    uint64_t total_ms = num_max(r->ends_ms - r->started_ms, 1);
 
-    return (uint32_t)num_min(99, (w->now - r->begun_ms) * 100 / whole);
+    return (uint32_t)num_min(99, (w->now - r->started_ms) * 100 / total_ms);
 }
 
 static void
-answer_look(struct fake_worker *w, struct web_req *r)
+answer_poll(struct fake_worker *w, struct web_req *r)
 {
     json_t *running = json_array();
     json_t *finished = json_array();
@@ -305,20 +312,21 @@
     char *text;
 
     for (size_t i = 0; i < w->run_count; i++) {
-        json_array_append_new(running,
-            json_pack("[o, I, s, i]", task_name(&w->runs[i].task),
-                (json_int_t)w->runs[i].run, "", (int)percent(w, &w->runs[i])));
+        json_array_append_new(
+            running, json_pack("[o, I, s, i]", task_name(&w->runs[i].task),
+                         (json_int_t)w->runs[i].run, "",
+                         (int)progress_percent(w, &w->runs[i])));
     }
-    for (size_t i = 0; i < w->end_count; i++) {
-        const struct end *e = &w->ends[i];
+    for (size_t i = 0; i < w->outcome_count; i++) {
+        const struct outcome *e = &w->outcomes[i];
 
         json_array_append_new(finished,
             json_pack("[I, o, I, s, s]", (json_int_t)e->number,
-                task_name(&e->task), (json_int_t)e->run, e->how, ""));
+                task_name(&e->task), (json_int_t)e->run, e->outcome_name, ""));
     }
-    o = json_pack("{s:I, s:I, s:o, s:o}", "clock_ms", (json_int_t)clock_of(w),
-        "born", (json_int_t)w->born_ms, "running", running, "finished",
-        finished);
+    o = json_pack("{s:I, s:I, s:o, s:o}", "clock_ms",
+        (json_int_t)worker_clock_ms(w), "born", (json_int_t)w->started_ms,
+        "running", running, "finished", finished);
     text = json_dumps(o, JSON_COMPACT);
     web_reply(r, 200, "application/json", str_of(text), 0);
     free(text);
@@ -326,29 +334,30 @@
 }
 
 static void
-look(struct fake_worker *w, struct web_req *r, const struct order *o)
+poll(struct fake_worker *w, struct web_req *r, const struct order *o)
 {
     size_t kept = 0;
 
-    if (fenced(w, o)) {
+    if (check_fence(w, o)) {
         answer(w, r, "fence");
         return;
     }
     if (o->until_ms != 0) {
-        renew(w, o->until_ms);
+        extend_lease(w, o->until_ms);
     }
-    for (size_t i = 0; i < w->end_count; i++) {
-        if (w->ends[i].number > o->ack) {
-            w->ends[kept++] = w->ends[i];
+    for (size_t i = 0; i < w->outcome_count; i++) {
+        if (w->outcomes[i].number > o->ack) {
+            w->outcomes[kept++] = w->outcomes[i];
         }
     }
-    w->end_count = kept;
-    if (o->wait_ms == 0 || w->end_count > 0 || w->wait_count == WAITS_MAX) {
-        answer_look(w, r);
+    w->outcome_count = kept;
+    if (o->wait_ms == 0 || w->outcome_count > 0 ||
+        w->poll_count == POLLS_MAX) {
+        answer_poll(w, r);
         return;
     }
-    w->waits[w->wait_count].r = r;
-    w->waits[w->wait_count++].until_ms = w->now + o->wait_ms;
+    w->polls[w->poll_count].r = r;
+    w->polls[w->poll_count++].until_ms = w->now + o->wait_ms;
 }
 
 static bool
@@ -374,22 +383,22 @@
         return;
     }
     if (is_stop) {
-        stop(w, &o);
+        stop_run(w, &o);
     }
     else {
-        reason = start(w, &o);
+        reason = start_run(w, &o);
     }
     if (r != NULL) {
         answer(w, r, reason);
     }
 }
 
-/* The caller gets no answer before its own time is up. */
+/* Leaves the request without an answer, so that it times out at the sender. */
 static void
-stay_mute(struct fake_worker *w, struct web_req *r)
+leave_unanswered(struct fake_worker *w, struct web_req *r)
 {
-    if (w->muted_count < LATER_MAX) {
-        w->muted[w->muted_count++] = r;
+    if (w->unanswered_count < DELAYED_MAX) {
+        w->unanswered[w->unanswered_count++] = r;
     }
     else {
         web_reply(r, 503, "application/json", STR("{}"), 0);
@@ -402,30 +411,30 @@
     struct fake_worker *w = ctx;
     struct order o;
     bool is_stop = ends_with(web_path(r), "/run-stop");
-    uint32_t luck = (uint32_t)soak_random(w->s, 1000);
+    uint32_t chance = (uint32_t)soak_random(w->s, 1000);
 
-    if (w->now < w->up_ms) {
-        stay_mute(w, r);
+    if (w->now < w->down_until_ms) {
+        leave_unanswered(w, r);
     }
     else if (ends_with(web_path(r), "/hold")) {
-        if (luck < w->mute + w->late) {
-            stay_mute(w, r);
+        if (chance < w->lost_permille + w->late_permille) {
+            leave_unanswered(w, r);
         }
         else if (read_order(&o, web_body(r))) {
-            look(w, r, &o);
+            poll(w, r, &o);
         }
     }
-    else if (luck < w->late && w->later_count < LATER_MAX) {
-        struct later *l = &w->laters[w->later_count++];
+    else if (chance < w->late_permille && w->delayed_count < DELAYED_MAX) {
+        struct delayed_order *l = &w->delayed[w->delayed_count++];
 
         l->at_ms = w->now + 2000 + soak_random(w->s, 6000);
-        l->stop = is_stop;
+        l->is_stop = is_stop;
         l->body = str_dup(web_body(r));
-        stay_mute(w, r);
+        leave_unanswered(w, r);
     }
-    else if (luck < w->late + w->mute) {
+    else if (chance < w->late_permille + w->lost_permille) {
         carry_out(w, NULL, web_body(r), is_stop);
-        stay_mute(w, r);
+        leave_unanswered(w, r);
     }
     else {
         carry_out(w, r, web_body(r), is_stop);
@@ -433,19 +442,19 @@
 }
 
 static void
-on_gone(void *ctx, struct web_req *r)
+on_disconnect(void *ctx, struct web_req *r)
 {
     struct fake_worker *w = ctx;
 
-    for (size_t i = 0; i < w->wait_count; i++) {
-        if (w->waits[i].r == r) {
-            w->waits[i] = w->waits[--w->wait_count];
+    for (size_t i = 0; i < w->poll_count; i++) {
+        if (w->polls[i].r == r) {
+            w->polls[i] = w->polls[--w->poll_count];
             return;
         }
     }
-    for (size_t i = 0; i < w->muted_count; i++) {
-        if (w->muted[i] == r) {
-            w->muted[i] = w->muted[--w->muted_count];
+    for (size_t i = 0; i < w->unanswered_count; i++) {
+        if (w->unanswered[i] == r) {
+            w->unanswered[i] = w->unanswered[--w->unanswered_count];
             return;
         }
     }
@@ -456,7 +465,7 @@
 static void
 tick_runs(struct fake_worker *w)
 {
-    bool lapsed = w->run_count > 0 && clock_of(w) > w->until_ms;
+    bool lapsed = w->run_count > 0 && worker_clock_ms(w) > w->until_ms;
 
     for (size_t i = 0; i < w->run_count;) {
         struct run *r = &w->runs[i];
@@ -474,14 +483,14 @@
 }
 
 static void
-tick_waits(struct fake_worker *w)
+tick_polls(struct fake_worker *w)
 {
-    for (size_t i = 0; i < w->wait_count;) {
-        struct wait wait = w->waits[i];
+    for (size_t i = 0; i < w->poll_count;) {
+        struct pending_poll polled = w->polls[i];
 
-        if (w->end_count > 0 || w->now >= wait.until_ms) {
-            w->waits[i] = w->waits[--w->wait_count];
-            answer_look(w, wait.r);
+        if (w->outcome_count > 0 || w->now >= polled.until_ms) {
+            w->polls[i] = w->polls[--w->poll_count];
+            answer_poll(w, polled.r);
             i = 0;
             continue;
         }
@@ -490,14 +499,14 @@
 }
 
 static void
-tick_laters(struct fake_worker *w)
+tick_delayed(struct fake_worker *w)
 {
-    for (size_t i = 0; i < w->later_count;) {
-        struct later l = w->laters[i];
+    for (size_t i = 0; i < w->delayed_count;) {
+        struct delayed_order l = w->delayed[i];
 
         if (w->now >= l.at_ms) {
-            w->laters[i] = w->laters[--w->later_count];
-            carry_out(w, NULL, str_of(l.body), l.stop);
+            w->delayed[i] = w->delayed[--w->delayed_count];
+            carry_out(w, NULL, str_of(l.body), l.is_stop);
             free(l.body);
             continue;
         }
@@ -509,27 +518,27 @@
 fw_tick(struct fake_worker *w, uint64_t now)
 {
     w->now = now;
-    if (now < w->up_ms) {
+    if (now < w->down_until_ms) {
         return;
     }
     tick_runs(w);
-    tick_waits(w);
-    tick_laters(w);
+    tick_polls(w);
+    tick_delayed(w);
 }
 
 /* --- control --- */
 
 static void
-begin_life(struct fake_worker *w, uint64_t at_ms)
+begin_incarnation(struct fake_worker *w, uint64_t at_ms)
 {
-    w->born_ms = 1700000000000U + at_ms;
-    w->life_ms = at_ms;
+    w->started_ms = 1700000000000U + at_ms;
+    w->incarnation_ms = at_ms;
     w->until_ms = 0;
     w->fence = 0;
     w->seq = 0;
-    w->next_end = 1;
+    w->next_outcome = 1;
     w->run_count = 0;
-    w->end_count = 0;
+    w->outcome_count = 0;
     w->past_count = 0;
     memset(w->past, 0, sizeof(w->past));
 }
@@ -537,32 +546,33 @@
 void
 fw_crash(struct fake_worker *w, uint64_t now, uint32_t for_ms)
 {
-    if (now < w->up_ms) {
+    if (now < w->down_until_ms) {
         return;
     }
     for (size_t i = 0; i < w->run_count; i++) {
         w->events->end(
             w->ctx, w, w->runs[i].task.job, w->runs[i].task.index, false);
     }
-    begin_life(w, now + for_ms);
-    w->up_ms = now + for_ms;
+    begin_incarnation(w, now + for_ms);
+    w->down_until_ms = now + for_ms;
 }
 
 void
-fw_lossy(struct fake_worker *w, uint32_t mute, uint32_t late)
+fw_set_loss(
+    struct fake_worker *w, uint32_t lost_permille, uint32_t late_permille)
 {
-    w->mute = mute;
-    w->late = late;
+    w->lost_permille = lost_permille;
+    w->late_permille = late_permille;
 }
 
 void
-fw_slow(struct fake_worker *w, uint32_t times)
+fw_set_slowdown(struct fake_worker *w, uint32_t factor)
 {
-    w->slow = times;
+    w->slowdown = factor;
 }
 
 bool
-fw_runs(const struct fake_worker *w, uint64_t job, uint32_t index)
+fw_is_running(const struct fake_worker *w, uint64_t job, uint32_t index)
 {
     struct task t = {job, index};
 
@@ -572,14 +582,14 @@
 void
 fw_announce(struct fake_worker *w, struct buf *out)
 {
-    if (w->now < w->up_ms) {
+    if (w->now < w->down_until_ms) {
         return;
     }
     buf_addf(out,
         "{\"service\":\"s\",\"state\":\"ready\",\"seq_no\":%" PRIu64
         ",\"born\":%" PRIu64 ",\"free_capacity\":{\"cpu\":%d,"
         "\"mem_mb\":1000,\"gpus\":0}}",
-        ++w->seq, w->born_ms, MILLICORES);
+        ++w->seq, w->started_ms, WORKER_MILLICORES);
 }
 
 struct fake_worker *
@@ -593,9 +603,10 @@
     w->s = s;
     w->events = events;
     w->ctx = ctx;
-    w->slow = 1;
-    begin_life(w, 0);
-    if (web_open(&w->web, loop, &cfg, on_request, on_gone, w, &e) != WEB_OK) {
+    w->slowdown = 1;
+    begin_incarnation(w, 0);
+    if (web_open(&w->web, loop, &cfg, on_request, on_disconnect, w, &e) !=
+        WEB_OK) {
         fprintf(stderr, "soak: %s\n", e.msg);
         exit(2);
     }
@@ -605,17 +616,17 @@
 void
 fw_free(struct fake_worker *w)
 {
-    while (w->wait_count > 0) {
-        web_reply(w->waits[--w->wait_count].r, 503, "application/json",
+    while (w->poll_count > 0) {
+        web_reply(w->polls[--w->poll_count].r, 503, "application/json",
             STR("{}"), 0);
     }
-    while (w->muted_count > 0) {
-        web_reply(
-            w->muted[--w->muted_count], 503, "application/json", STR("{}"), 0);
+    while (w->unanswered_count > 0) {
+        web_reply(w->unanswered[--w->unanswered_count], 503,
+            "application/json", STR("{}"), 0);
     }
     web_close(w->web);
-    for (size_t i = 0; i < w->later_count; i++) {
-        free(w->laters[i].body);
+    for (size_t i = 0; i < w->delayed_count; i++) {
+        free(w->delayed[i].body);
     }
     free(w);
 }
--- a/test/soak.c
+++ b/test/soak.c
@@ -15,26 +15,29 @@
 
 #define TICK_S 0.005
 #define CALLS_MAX 20000
-/* ms a caller waits before it sends a broken request elsewhere. */
-#define RESEND_MS 1300U
-#define LEFT_MS 3000U
-#define SUBMIT_MS 40U
-#define START_MS 4000U
-#define CALM_MS 6000U
-/* Of calls sent in the calm after all faults, the last seconds. */
+/* Delay before a caller sends a failed request again, to any entry. */
+#define RESEND_DELAY_MS 1300U
+/* From the submission of a call to its deadline. */
+#define CALL_TIMEOUT_MS 3000U
+#define SUBMIT_INTERVAL_MS 40U
+/* Time before the first call and the first fault. */
+#define STARTUP_MS 4000U
+/* How long calls are sent after the last fault. */
+#define FAULT_FREE_MS 6000U
+/* Time for the last calls to complete. */
 #define SETTLE_MS 3000U
 
-/* Ports after the base. */
+/* Ports, as offsets from the base. */
 enum {
-    AT_STORE = 0,
-    AT_ENTRY_CALLERS = 10,
-    AT_ENTRY_READY = 20,
-    AT_ENTRY_LINK = 30,
-    AT_STORE_PROXY = 40, /* one for each process */
-    AT_AGENT_LINK = 120,
-    AT_AGENT_ANNOUNCE = 200,
-    AT_WORKER = 300,
-    AT_PROXY = 400
+    PORT_STORE = 0,
+    PORT_ENTRY_CALLERS = 10,
+    PORT_ENTRY_READY = 20,
+    PORT_ENTRY_LINK = 30,
+    PORT_STORE_PROXY = 40, /* one for each process */
+    PORT_AGENT_LINK = 120,
+    PORT_AGENT_ANNOUNCE = 200,
+    PORT_WORKER = 300,
+    PORT_AGENT_PROXY = 400
 };
 
 struct daemon_proc {
@@ -42,25 +45,26 @@
     char name[16];
     bool is_agent;
     int number;
-    int at; /* in procs */
+    int index; /* in soak.procs */
     pid_t pid;
-    uint64_t start_ms; /* to be started then; 0: runs */
-    uint64_t wake_ms;  /* stopped until then; 0: runs */
+    uint64_t start_ms;  /* when to start it again; 0: is running */
+    uint64_t resume_ms; /* when to send SIGCONT; 0: is not stopped */
 };
 
+/* A job submitted by a caller, with all its requests. */
 struct call {
     struct soak *s;
-    uint64_t id;
+    uint64_t id; /* job id; the low 32 bits are the index in soak.calls */
     uint32_t tasks;
-    uint32_t ms[SOAK_TASKS_MAX];
-    bool done[SOAK_TASKS_MAX];
-    uint32_t started;
-    uint32_t sends;
-    uint32_t rejects;
-    int entry;
-    uint64_t come_ms;
+    uint32_t ms[SOAK_TASKS_MAX]; /* run time of each task */
+    bool done[SOAK_TASKS_MAX];   /* the task ran to its end */
+    uint32_t started;            /* task starts */
+    uint32_t sends;              /* requests sent */
+    uint32_t rejects;            /* requests refused */
+    int entry;                   /* of the last request */
+    uint64_t arrival_ms;
     uint64_t deadline_ms;
-    uint64_t again_ms; /* send it again then; 0: no */
+    uint64_t resend_at_ms; /* 0: not to be sent again */
     bool answered;
     bool completed;
 };
@@ -68,17 +72,17 @@
 struct soak {
     struct ev_loop *loop;
     struct httpc *http;
-    uint64_t random;
-    uint64_t began_ms;
-    uint64_t now;
-    int base;
+    uint64_t random;   /* state of the generator */
+    uint64_t epoch_ms; /* monotonic clock at the start of the test */
+    uint64_t now;      /* ms, monotonic clock */
+    int base;          /* first port */
     int entries;
     int agents;
     char dir[256];
     const char *bin;
     struct fake_store *store;
     struct fake_worker *workers[SOAK_AGENTS_MAX];
-    struct proxy *proxies[SOAK_AGENTS_MAX];
+    struct proxy *proxies[SOAK_AGENTS_MAX]; /* before the agents */
     struct proxy *store_proxies[SOAK_AGENTS_MAX + SOAK_ENTRIES_MAX];
     struct daemon_proc procs[SOAK_AGENTS_MAX + SOAK_ENTRIES_MAX];
     int proc_count;
@@ -86,14 +90,14 @@
     size_t call_count;
     uint64_t next_submit_ms;
     uint64_t next_fault_ms;
-    uint64_t next_beat_ms;
+    uint64_t next_heartbeat_ms;
     uint64_t faults_end_ms;
     uint64_t end_ms;
-    uint64_t version;
+    uint64_t version; /* of the configuration */
     uint64_t faults;
     uint64_t starts;
-    uint64_t broken;
-    struct { /* what is undone later */
+    uint64_t violations;
+    struct { /* faults to be cleared */
         uint64_t at_ms;
         void (*fn)(struct soak *s, int i);
         int i;
@@ -120,20 +124,20 @@
 }
 
 static void
-broken(void *ctx, const char *what)
+report_violation(void *ctx, const char *event)
 {
     struct soak *s = ctx;
 
-    s->broken++;
-    printf("BROKEN at %" PRIu64 " ms: %s\n", s->now - s->began_ms, what);
+    s->violations++;
+    printf("VIOLATION at %" PRIu64 " ms: %s\n", s->now - s->epoch_ms, event);
 }
 
 static void
-tell(struct soak *s, const char *what, const char *whom, uint64_t ms)
+log_fault(struct soak *s, const char *event, const char *target, uint64_t ms)
 {
     if (s->verbose) {
-        printf("%" PRIu64 " %s %s %" PRIu64 "\n", s->now - s->began_ms, what,
-            whom, ms);
+        printf("%" PRIu64 " %s %s %" PRIu64 "\n", s->now - s->epoch_ms, event,
+            target, ms);
     }
 }
 
@@ -155,18 +159,18 @@
         "address = \"127.0.0.1\"\nport = %d\n[log]\nfile = \"%s/%s.log\"\n"
         "[platform]\nstore = \"http://127.0.0.1:%d\"\ngrace_s = 4\n",
         p->is_agent ? "agent" : "entry", p->name, i % 3,
-        s->base + (p->is_agent ? AT_AGENT_LINK : AT_ENTRY_LINK) + i, s->dir,
-        p->name, s->base + AT_STORE_PROXY + p->at);
+        s->base + (p->is_agent ? PORT_AGENT_LINK : PORT_ENTRY_LINK) + i,
+        s->dir, p->name, s->base + PORT_STORE_PROXY + p->index);
     if (p->is_agent) {
         fprintf(f,
             "announce = \"127.0.0.1:%d\"\nworker = \"127.0.0.1:%d\"\n"
             "service = \"s\"\n",
-            s->base + AT_AGENT_ANNOUNCE + i, s->base + AT_WORKER + i);
+            s->base + PORT_AGENT_ANNOUNCE + i, s->base + PORT_WORKER + i);
     }
     else {
         fprintf(f,
             "callers = \"127.0.0.1:%d\"\nreadiness = \"127.0.0.1:%d\"\n",
-            s->base + AT_ENTRY_CALLERS + i, s->base + AT_ENTRY_READY + i);
+            s->base + PORT_ENTRY_CALLERS + i, s->base + PORT_ENTRY_READY + i);
     }
     fclose(f);
 }
@@ -179,7 +183,7 @@
     snprintf(path, sizeof(path), "%s/%s.toml", p->s->dir, p->name);
     write_settings(p, path);
     p->start_ms = 0;
-    p->wake_ms = 0;
+    p->resume_ms = 0;
     p->pid = fork();
     if (p->pid == 0) {
         execl(p->s->bin, p->s->bin, "-f", path, (char *)NULL);
@@ -187,7 +191,8 @@
     }
 }
 
-/* Ends that were asked for and those that were not. */
+/* Collects processes that exited, by a signal of this test or on their own,
+ * and schedules their restart. */
 static void
 reap(struct soak *s)
 {
@@ -199,23 +204,23 @@
             continue;
         }
         if (WIFSIGNALED(status) && WTERMSIG(status) != SIGKILL) {
-            broken(s, "a process crashed");
+            report_violation(s, "a process crashed");
         }
         p->pid = 0;
-        p->wake_ms = 0;
+        p->resume_ms = 0;
         p->start_ms = s->now + 300 + soak_random(s, 700);
     }
 }
 
 static void
-tend_procs(struct soak *s)
+update_procs(struct soak *s)
 {
     reap(s);
     for (int i = 0; i < s->proc_count; i++) {
         struct daemon_proc *p = &s->procs[i];
 
-        if (p->wake_ms != 0 && s->now >= p->wake_ms) {
-            p->wake_ms = 0;
+        if (p->resume_ms != 0 && s->now >= p->resume_ms) {
+            p->resume_ms = 0;
             kill(p->pid, SIGCONT);
         }
         if (p->start_ms != 0 && s->now >= p->start_ms) {
@@ -243,14 +248,14 @@
 
     s->starts++;
     for (int i = 0; i < s->agents; i++) {
-        if (s->workers[i] != w && fw_runs(s->workers[i], job, index)) {
+        if (s->workers[i] != w && fw_is_running(s->workers[i], job, index)) {
             snprintf(text, sizeof(text),
                 "task %016" PRIx64 ".%u runs twice at a time", job, index);
-            broken(s, text);
+            report_violation(s, text);
         }
     }
     if (c == NULL) {
-        broken(s, "a task was started that nobody sent");
+        report_violation(s, "a task was started that no caller sent");
         return;
     }
     c->started++;
@@ -259,12 +264,12 @@
             "task of job %016" PRIx64
             " started after all its requests were refused",
             job);
-        broken(s, text);
+        report_violation(s, text);
     }
 }
 
 static void
-on_end(
+on_outcome(
     void *ctx, struct fake_worker *w, uint64_t job, uint32_t index, bool done)
 {
     struct call *c = find_call(ctx, job);
@@ -276,7 +281,7 @@
 }
 
 static uint32_t
-run_time(void *ctx, uint64_t job, uint32_t index)
+run_time_ms(void *ctx, uint64_t job, uint32_t index)
 {
     struct call *c = find_call(ctx, job);
 
@@ -284,7 +289,7 @@
 }
 
 static const struct fw_events worker_events = {
-    on_start, on_end, run_time, broken};
+    on_start, on_outcome, run_time_ms, report_violation};
 
 /* --- callers --- */
 
@@ -300,8 +305,10 @@
         c->rejects++;
         if (c->started > 0 && c->rejects == c->sends) {
             snprintf(text, sizeof(text),
-                "job %016" PRIx64 " is said not to have run", c->id);
-            broken(s, text);
+                "job %016" PRIx64
+                " was answered as not run, but a task was started",
+                c->id);
+            report_violation(s, text);
         }
         return;
     }
@@ -310,16 +317,18 @@
         for (uint32_t i = 0; i < c->tasks; i++) {
             if (!c->done[i]) {
                 snprintf(text, sizeof(text),
-                    "job %016" PRIx64 " is said to be complete", c->id);
-                broken(s, text);
+                    "job %016" PRIx64
+                    " was answered as complete, but a task is not done",
+                    c->id);
+                report_violation(s, text);
             }
         }
         return;
     }
     if (d->code == 200) {
         snprintf(text, sizeof(text),
-            "job %016" PRIx64 " is said to have failed", c->id);
-        broken(s, text);
+            "job %016" PRIx64 " was answered as failed", c->id);
+        report_violation(s, text);
     }
 }
 
@@ -333,8 +342,8 @@
         c->answered = true;
         check_answer(c, d);
     }
-    else if (now + RESEND_MS < c->deadline_ms) {
-        c->again_ms = now + RESEND_MS;
+    else if (now + RESEND_DELAY_MS < c->deadline_ms) {
+        c->resend_at_ms = now + RESEND_DELAY_MS;
     }
 }
 
@@ -342,7 +351,7 @@
 send_call(struct call *c)
 {
     struct soak *s = c->s;
-    uint64_t left = num_minus(c->deadline_ms, s->now);
+    uint64_t remaining_ms = num_minus(c->deadline_ms, s->now);
     char url[128];
     char deadline[64];
     char body[256];
@@ -350,12 +359,13 @@
         "Host: h.example", "Content-Type: application/json", deadline, NULL};
     struct httpc_call h = {0};
 
-    c->again_ms = 0;
+    c->resend_at_ms = 0;
     c->sends++;
     c->entry = (int)soak_random(s, (uint64_t)s->entries);
     snprintf(url, sizeof(url), "http://127.0.0.1:%d/q/%016" PRIx64,
-        s->base + AT_ENTRY_CALLERS + c->entry, c->id);
-    snprintf(deadline, sizeof(deadline), "Deadline-Remaining: %" PRIu64, left);
+        s->base + PORT_ENTRY_CALLERS + c->entry, c->id);
+    snprintf(deadline, sizeof(deadline), "Deadline-Remaining: %" PRIu64,
+        remaining_ms);
     snprintf(body, sizeof(body),
         "{\"task_spec\":\"x\",\"best_effort\":true,\"steps\":[{\"count\":%u,"
         "\"cpu\":2000,\"mem_mb\":10,\"est_runtime_ms\":%u}]}",
@@ -364,7 +374,7 @@
     h.url = url;
     h.headers = headers;
     h.body = str_of(body);
-    h.timeout_ms = (uint32_t)left;
+    h.timeout_ms = (uint32_t)remaining_ms;
     h.connect_timeout_ms = 1000;
     h.done = on_answer;
     h.ctx = c;
@@ -386,28 +396,28 @@
     for (uint32_t i = 0; i < c->tasks; i++) {
         c->ms[i] = 20 + (uint32_t)soak_random(s, i == 0 ? 300 : 120);
     }
-    c->come_ms = s->now;
-    c->deadline_ms = s->now + LEFT_MS;
+    c->arrival_ms = s->now;
+    c->deadline_ms = s->now + CALL_TIMEOUT_MS;
     send_call(c);
 }
 
 static void
-tend_callers(struct soak *s)
+update_callers(struct soak *s)
 {
     if (s->now >= s->next_submit_ms && s->now + SETTLE_MS < s->end_ms) {
-        s->next_submit_ms = s->now + SUBMIT_MS;
+        s->next_submit_ms = s->now + SUBMIT_INTERVAL_MS;
         submit(s);
     }
     for (size_t i = num_minus(s->call_count, 200); i < s->call_count; i++) {
         struct call *c = &s->calls[i];
 
-        if (c->again_ms != 0 && s->now >= c->again_ms) {
+        if (c->resend_at_ms != 0 && s->now >= c->resend_at_ms) {
             send_call(c);
         }
     }
 }
 
-/* --- workers' announcements --- */
+/* --- heartbeats of the workers --- */
 
 static void
 on_announced(void *ctx, const struct httpc_done *d)
@@ -429,7 +439,7 @@
     if (b.n > 0) {
         snprintf(url, sizeof(url),
             "http://127.0.0.1:%d/dunlinweir/Instances.Heartbeat/i-%d",
-            s->base + AT_AGENT_ANNOUNCE + i, i);
+            s->base + PORT_AGENT_ANNOUNCE + i, i);
         h.method = "POST";
         h.url = url;
         h.headers = headers;
@@ -492,7 +502,7 @@
     struct daemon_proc *p = any_proc(s);
 
     if (p->pid > 0) {
-        tell(s, "kill", p->name, 0);
+        log_fault(s, "kill", p->name, 0);
         kill(p->pid, SIGKILL);
     }
 }
@@ -502,8 +512,8 @@
 {
     struct daemon_proc *p = any_proc(s);
 
-    if (p->pid > 0 && p->wake_ms == 0) {
-        tell(s, "term", p->name, 0);
+    if (p->pid > 0 && p->resume_ms == 0) {
+        log_fault(s, "term", p->name, 0);
         kill(p->pid, SIGTERM);
     }
 }
@@ -514,15 +524,15 @@
     struct daemon_proc *p = any_proc(s);
     uint64_t ms = 50 + soak_random(s, soak_random(s, 2) ? 600 : 2500);
 
-    if (p->pid > 0 && p->wake_ms == 0) {
-        tell(s, "pause", p->name, ms);
+    if (p->pid > 0 && p->resume_ms == 0) {
+        log_fault(s, "pause", p->name, ms);
         kill(p->pid, SIGSTOP);
-        p->wake_ms = s->now + ms;
+        p->resume_ms = s->now + ms;
     }
 }
 
 static void
-hup_one(struct soak *s)
+reload_one(struct soak *s)
 {
     struct daemon_proc *p = any_proc(s);
 
@@ -535,35 +545,36 @@
 undo_store(struct soak *s, int i)
 {
     (void)i;
-    fs_mode(s->store, STORE_SERVES);
+    fs_set_mode(s->store, STORE_SERVES);
 }
 
 static void
-store_away(struct soak *s)
+store_unreachable(struct soak *s)
 {
     uint64_t ms = 500 + soak_random(s, 3000);
 
-    tell(s, "store", "away", ms);
-    fs_mode(s->store, soak_random(s, 2) ? STORE_REFUSES : STORE_SILENT);
+    log_fault(s, "store", "unreachable", ms);
+    fs_set_mode(s->store, soak_random(s, 2) ? STORE_REFUSES : STORE_SILENT);
     undo_later(s, ms, undo_store, 0);
 }
 
 static void
 undo_proxy(struct soak *s, int i)
 {
-    px_mode(s->proxies[i], PROXY_PASS);
+    px_set_mode(s->proxies[i], PROXY_PASS);
 }
 
 static void
 link_fault(struct soak *s)
 {
-    static const char *const names[] = {"pass", "silent", "one_way", "slow"};
+    static const char *const mode_names[] = {
+        "pass", "silent", "one_way", "slow"};
     int i = any_agent(s);
     enum proxy_mode mode = 1 + (enum proxy_mode)soak_random(s, 3);
     uint64_t ms = 100 + soak_random(s, 2500);
 
-    tell(s, names[mode], s->procs[i].name, ms);
-    px_mode(s->proxies[i], mode);
+    log_fault(s, mode_names[mode], s->procs[i].name, ms);
+    px_set_mode(s->proxies[i], mode);
     undo_later(s, ms, undo_proxy, i);
 }
 
@@ -572,26 +583,26 @@
 {
     int i = any_agent(s);
 
-    tell(s, "reset", s->procs[i].name, 0);
+    log_fault(s, "reset", s->procs[i].name, 0);
     px_reset(s->proxies[i]);
 }
 
 static void
 undo_store_proxy(struct soak *s, int i)
 {
-    px_mode(s->store_proxies[i], PROXY_PASS);
+    px_set_mode(s->store_proxies[i], PROXY_PASS);
 }
 
-/* The store turns one process away and serves the others. */
+/* Makes the store unreachable for one process only. */
 static void
-turn_away(struct soak *s, struct daemon_proc *p, uint64_t ms)
+cut_from_store(struct soak *s, struct daemon_proc *p, uint64_t ms)
 {
     enum proxy_mode mode = 1 + (enum proxy_mode)soak_random(s, 3);
 
-    tell(s, "store_cut", p->name, ms);
-    px_mode(s->store_proxies[p->at], mode);
-    px_reset(s->store_proxies[p->at]);
-    undo_later(s, ms, undo_store_proxy, p->at);
+    log_fault(s, "store_cut", p->name, ms);
+    px_set_mode(s->store_proxies[p->index], mode);
+    px_reset(s->store_proxies[p->index]);
+    undo_later(s, ms, undo_store_proxy, p->index);
 }
 
 static void
@@ -599,18 +610,18 @@
 {
     struct daemon_proc *p = any_proc(s);
 
-    turn_away(s, p, 500 + soak_random(s, 2500));
+    cut_from_store(s, p, 500 + soak_random(s, 2500));
 }
 
-/* A process starts while the store turns it away. */
+/* Restarts a process while the store is unreachable for it. */
 static void
 start_without_store(struct soak *s)
 {
     struct daemon_proc *p = any_proc(s);
 
-    turn_away(s, p, 1500 + soak_random(s, 1500));
+    cut_from_store(s, p, 1500 + soak_random(s, 1500));
     if (p->pid > 0) {
-        tell(s, "kill", p->name, 0);
+        log_fault(s, "kill", p->name, 0);
         kill(p->pid, SIGKILL);
     }
 }
@@ -621,15 +632,15 @@
     int i = any_agent(s);
     uint32_t ms = 20 + (uint32_t)soak_random(s, 1500);
 
-    tell(s, "worker_crash", s->procs[i].name, ms);
+    log_fault(s, "worker_crash", s->procs[i].name, ms);
     fw_crash(s->workers[i], s->now, ms);
 }
 
 static void
 undo_worker(struct soak *s, int i)
 {
-    fw_lossy(s->workers[i], 0, 0);
-    fw_slow(s->workers[i], 1);
+    fw_set_loss(s->workers[i], 0, 0);
+    fw_set_slowdown(s->workers[i], 1);
 }
 
 static void
@@ -638,8 +649,8 @@
     int i = any_agent(s);
     uint64_t ms = 500 + soak_random(s, 3000);
 
-    tell(s, "worker_lossy", s->procs[i].name, ms);
-    fw_lossy(s->workers[i], (uint32_t)soak_random(s, 150),
+    log_fault(s, "worker_lossy", s->procs[i].name, ms);
+    fw_set_loss(s->workers[i], (uint32_t)soak_random(s, 150),
         (uint32_t)soak_random(s, 100));
     undo_later(s, ms, undo_worker, i);
 }
@@ -650,18 +661,20 @@
     int i = any_agent(s);
     uint64_t ms = 500 + soak_random(s, 3000);
 
-    tell(s, "worker_slow", s->procs[i].name, ms);
-    fw_slow(s->workers[i], 2 + (uint32_t)soak_random(s, 6));
+    log_fault(s, "worker_slow", s->procs[i].name, ms);
+    fw_set_slowdown(s->workers[i], 2 + (uint32_t)soak_random(s, 6));
     undo_later(s, ms, undo_worker, i);
 }
 
 static void (*const faults[])(struct soak *s) = {kill_one, term_one, pause_one,
-    pause_one, hup_one, store_away, link_fault, link_fault, link_reset,
-    store_cut, start_without_store, worker_crash, worker_lossy, worker_slow};
+    pause_one, reload_one, store_unreachable, link_fault, link_fault,
+    link_reset, store_cut, start_without_store, worker_crash, worker_lossy,
+    worker_slow};
 
-/* Series that overlap: a fault each fifth of a second to second. */
+/* Injects a fault every 0.2 to 1 s, so that faults overlap, and clears those
+ * whose time is up. */
 static void
-tend_faults(struct soak *s)
+update_faults(struct soak *s)
 {
     for (size_t i = 0; i < s->undo_count;) {
         if (s->now >= s->undo[i].at_ms) {
@@ -697,16 +710,16 @@
     for (int i = 0; i < s->agents; i++) {
         fw_tick(s->workers[i], s->now);
     }
-    tend_procs(s);
-    if (s->now >= s->next_beat_ms) {
-        s->next_beat_ms = s->now + 500;
+    update_procs(s);
+    if (s->now >= s->next_heartbeat_ms) {
+        s->next_heartbeat_ms = s->now + 500;
         for (int i = 0; i < s->agents; i++) {
             announce(s, i);
         }
     }
-    if (s->now - s->began_ms > START_MS) {
-        tend_callers(s);
-        tend_faults(s);
+    if (s->now - s->epoch_ms > STARTUP_MS) {
+        update_callers(s);
+        update_faults(s);
     }
     if (s->now >= s->end_ms) {
         ev_break(loop, EVBREAK_ALL);
@@ -719,10 +732,10 @@
     struct daemon_proc *p = &s->procs[s->proc_count];
 
     p->s = s;
-    p->at = s->proc_count++;
-    s->store_proxies[p->at] =
-        px_new(s->loop, (uint16_t)(s->base + AT_STORE_PROXY + p->at),
-            (uint16_t)(s->base + AT_STORE));
+    p->index = s->proc_count++;
+    s->store_proxies[p->index] =
+        px_new(s->loop, (uint16_t)(s->base + PORT_STORE_PROXY + p->index),
+            (uint16_t)(s->base + PORT_STORE));
     p->is_agent = is_agent;
     p->number = number;
     snprintf(p->name, sizeof(p->name), "%c%d", is_agent ? 'a' : 'e', number);
@@ -732,17 +745,18 @@
 static void
 set_up(struct soak *s)
 {
-    /* The default loop would wait for the processes itself. */
+    /* The default loop reaps child processes itself. */
     s->loop = ev_loop_new(0);
     s->http = httpc_new(s->loop, 100);
-    s->store = fs_new(
-        s->loop, (uint16_t)(s->base + AT_STORE), AT_PROXY - AT_AGENT_LINK);
+    s->store = fs_new(s->loop, (uint16_t)(s->base + PORT_STORE),
+        PORT_AGENT_PROXY - PORT_AGENT_LINK);
     write_config(s);
     for (int i = 0; i < s->agents; i++) {
-        s->workers[i] = fw_new(s, s->loop, (uint16_t)(s->base + AT_WORKER + i),
-            &worker_events, s);
-        s->proxies[i] = px_new(s->loop, (uint16_t)(s->base + AT_PROXY + i),
-            (uint16_t)(s->base + AT_AGENT_LINK + i));
+        s->workers[i] = fw_new(s, s->loop,
+            (uint16_t)(s->base + PORT_WORKER + i), &worker_events, s);
+        s->proxies[i] =
+            px_new(s->loop, (uint16_t)(s->base + PORT_AGENT_PROXY + i),
+                (uint16_t)(s->base + PORT_AGENT_LINK + i));
         add_proc(s, true, i);
     }
     for (int i = 0; i < s->entries; i++) {
@@ -753,7 +767,7 @@
     ev_timer_start(s->loop, &s->tick);
 }
 
-/* By id, and only what was started here. */
+/* Kills the processes started here, each by its process id. */
 static void
 stop_all(struct soak *s)
 {
@@ -768,22 +782,22 @@
     }
 }
 
-/* In the calm after the faults every call must complete. */
+/* Calls sent long enough after the last fault must all complete. */
 static void
-check_calm(struct soak *s, size_t *completed)
+check_fault_free(struct soak *s, size_t *completed)
 {
-    uint64_t calm = s->faults_end_ms + CALM_MS - 2000;
+    uint64_t fault_free_from = s->faults_end_ms + FAULT_FREE_MS - 2000;
 
     for (size_t i = 0; i < s->call_count; i++) {
         const struct call *c = &s->calls[i];
 
         *completed += c->completed;
-        if (c->come_ms >= calm && !c->completed) {
+        if (c->arrival_ms >= fault_free_from && !c->completed) {
             char text[120];
 
             snprintf(text, sizeof(text),
-                "job %016" PRIx64 " of the calm did not complete", c->id);
-            broken(s, text);
+                "job %016" PRIx64 " did not complete after the faults", c->id);
+            report_violation(s, text);
         }
     }
 }
@@ -798,14 +812,17 @@
     char *dir = NULL;
     char *bin = NULL;
     const struct poptOption options[] = {
-        {"seed", 's', POPT_ARG_INT, &seed, 0, "of all chance", "N"},
-        {"seconds", 't', POPT_ARG_INT, &seconds, 0, "of faults", "N"},
+        {"seed", 's', POPT_ARG_INT, &seed, 0, "seed of the random numbers",
+            "N"},
+        {"seconds", 't', POPT_ARG_INT, &seconds, 0, "duration of the faults",
+            "N"},
         {"entries", 'e', POPT_ARG_INT, &s->entries, 0, "entries", "N"},
         {"agents", 'a', POPT_ARG_INT, &s->agents, 0, "agents", "N"},
         {"base", 'p', POPT_ARG_INT, &s->base, 0, "first of 500 ports", "N"},
-        {"dir", 'd', POPT_ARG_STRING, &dir, 0, "settings and logs", "DIR"},
-        {"bin", 'b', POPT_ARG_STRING, &bin, 0, "dunlinweird", "FILE"},
-        {"verbose", 'v', POPT_ARG_NONE, &verbose, 0, "tell faults", NULL},
+        {"dir", 'd', POPT_ARG_STRING, &dir, 0,
+            "directory of settings and logs", "DIR"},
+        {"bin", 'b', POPT_ARG_STRING, &bin, 0, "dunlinweird program", "FILE"},
+        {"verbose", 'v', POPT_ARG_NONE, &verbose, 0, "print the faults", NULL},
         POPT_AUTOHELP POPT_TABLEEND};
     poptContext ctx =
         poptGetContext("soak", argc, (const char **)argv, options, 0);
@@ -825,15 +842,15 @@
     s->verbose = verbose != 0;
     s->bin = bin;
     snprintf(s->dir, sizeof(s->dir), "%s", dir);
-    s->began_ms = s->now = clock_ms();
-    s->faults_end_ms = s->now + START_MS + (uint64_t)seconds * 1000;
-    s->end_ms = s->faults_end_ms + CALM_MS + SETTLE_MS;
+    s->epoch_ms = s->now = clock_ms();
+    s->faults_end_ms = s->now + STARTUP_MS + (uint64_t)seconds * 1000;
+    s->end_ms = s->faults_end_ms + FAULT_FREE_MS + SETTLE_MS;
     set_up(s);
     ev_run(s->loop, 0);
     stop_all(s);
-    check_calm(s, &completed);
+    check_fault_free(s, &completed);
     printf("seed %d: %" PRIu64 " faults, %zu calls, %zu completed, %" PRIu64
-           " starts, %" PRIu64 " broken\n",
-        seed, s->faults, s->call_count, completed, s->starts, s->broken);
-    return s->broken == 0 ? 0 : 1;
+           " starts, %" PRIu64 " violations\n",
+        seed, s->faults, s->call_count, completed, s->starts, s->violations);
+    return s->violations == 0 ? 0 : 1;
 }
--- a/test/soak.h
+++ b/test/soak.h
@@ -1,11 +1,13 @@
 /*
- * soak - the real daemons under faults from outside, on our own stand-ins
+ * soak - fault injection test of the daemons with stand-ins around them
  *
- * One process plays the platform's store, the workers and the callers, and
- * starts, signals and restarts dunlinweird processes.  Connections from
+ * One process stands in for the platform's store, the workers and the callers,
+ * and starts, signals and restarts dunlinweird processes.  Connections from
  * entries to agents, and from each process to the store, pass through proxies
- * that reset, delay or silence them.  It checks the promises from what callers
- * and workers see.
+ * that reset, delay or silence them.  It checks the guarantees by what callers
+ * and workers observe: no task runs twice at a time, a job answered as refused
+ * was not started, a job answered as complete ran completely, and every job
+ * completes once the faults are over.
  */
 #ifndef SOAK_H
 #define SOAK_H
@@ -27,66 +29,85 @@
 
 /* --- random numbers from one seed --- */
 
+/* A number from 0 to below - 1. */
 uint64_t soak_random(struct soak *s, uint64_t below);
 
-/* --- the platform's store; soak-store.c --- */
+/* --- stand-in for the platform's store; soak-store.c --- */
 
-enum store_mode { STORE_SERVES, STORE_REFUSES, STORE_SILENT };
+enum store_mode {
+    STORE_SERVES,
+    STORE_REFUSES, /* replies with status 503 */
+    STORE_SILENT   /* replies only when the mode changes, with 503 */
+};
 
 struct fake_store;
 
+/* proxy_offset is the distance from an agent's port to its proxy's. */
 struct fake_store *fs_new(
     struct ev_loop *loop, uint16_t port, int32_t proxy_offset);
 void fs_free(struct fake_store *f);
-void fs_mode(struct fake_store *f, enum store_mode mode);
-/* What operators write. */
+void fs_set_mode(struct fake_store *f, enum store_mode mode);
+/* Write or delete a key, as operators do. */
 void fs_put(struct fake_store *f, const char *key, const char *value);
 void fs_remove(struct fake_store *f, const char *key);
+/* Expire leases and answer watches; `now` in ms. */
 void fs_tick(struct fake_store *f, uint64_t now);
 
-/* --- workers; soak-worker.c --- */
+/* --- stand-in for a worker; soak-worker.c --- */
 
 struct fake_worker;
 
-/* What checks need to know of a start or an end. */
+/* A run started, or ended; done is false if it did not run to its end. */
 typedef void (*fw_start_fn)(
     void *ctx, struct fake_worker *w, uint64_t job, uint32_t index);
 typedef void (*fw_end_fn)(
     void *ctx, struct fake_worker *w, uint64_t job, uint32_t index, bool done);
-/* How long a task runs in ms. */
-typedef uint32_t (*fw_time_fn)(void *ctx, uint64_t job, uint32_t index);
-typedef void (*fw_broken_fn)(void *ctx, const char *what);
+/* Run time of a task in ms. */
+typedef uint32_t (*fw_run_time_fn)(void *ctx, uint64_t job, uint32_t index);
+/* The worker detected a violation of a guarantee. */
+typedef void (*fw_violation_fn)(void *ctx, const char *what);
 
 struct fw_events {
     fw_start_fn start;
     fw_end_fn end;
-    fw_time_fn time;
-    fw_broken_fn broken;
+    fw_run_time_fn run_ms;
+    fw_violation_fn violation;
 };
 
 struct fake_worker *fw_new(struct soak *s, struct ev_loop *loop, uint16_t port,
     const struct fw_events *events, void *ctx);
 void fw_free(struct fake_worker *w);
 void fw_tick(struct fake_worker *w, uint64_t now);
+/* End all runs without an outcome and start a new incarnation after for_ms. */
 void fw_crash(struct fake_worker *w, uint64_t now, uint32_t for_ms);
-/* Of 1000 orders: answers lost, and carried out seconds late. */
-void fw_lossy(struct fake_worker *w, uint32_t mute, uint32_t late);
-void fw_slow(struct fake_worker *w, uint32_t times);
-bool fw_runs(const struct fake_worker *w, uint64_t job, uint32_t index);
-/* An announcement of itself. */
+/* Of 1000 orders, how many lose their answer, and how many are carried out
+ * seconds late without an answer. */
+void fw_set_loss(
+    struct fake_worker *w, uint32_t lost_permille, uint32_t late_permille);
+/* Multiply the run time of tasks started from now on. */
+void fw_set_slowdown(struct fake_worker *w, uint32_t factor);
+bool fw_is_running(const struct fake_worker *w, uint64_t job, uint32_t index);
+/* Format a heartbeat for the agent; nothing while the worker is down. */
 void fw_announce(struct fake_worker *w, struct buf *out);
 
 /* --- the proxy; soak-proxy.c --- */
 
-enum proxy_mode { PROXY_PASS, PROXY_SILENT, PROXY_ONE_WAY, PROXY_SLOW };
+enum proxy_mode {
+    PROXY_PASS,
+    PROXY_SILENT,  /* drops all bytes */
+    PROXY_ONE_WAY, /* drops bytes from the server to the client */
+    PROXY_SLOW     /* delays all bytes */
+};
 
 struct proxy;
 
+/* Listens on port `from` and connects to port `to`. */
 struct proxy *px_new(struct ev_loop *loop, uint16_t from, uint16_t to);
 void px_free(struct proxy *p);
-/* Open connections keep their mode when it goes back to PROXY_PASS from
- * PROXY_SILENT: they stay silent for good, new ones work. */
-void px_mode(struct proxy *p, enum proxy_mode mode);
+/* A connection direction that has dropped bytes drops them for good, also
+ * after the mode goes back to PROXY_PASS; new connections work. */
+void px_set_mode(struct proxy *p, enum proxy_mode mode);
+/* Close all connections with a TCP reset. */
 void px_reset(struct proxy *p);
 
 #endif
