--- a/test/capacity.cc
+++ b/test/capacity.cc
@@ -1,12 +1,13 @@
 /*
- * capacity - what control costs as the fleet grows
+ * capacity - cost of the control traffic as the fleet grows
  *
  * usage: capacity [NODES ...]
  *
- * Runs that many nodes of the deciding code at rest in one process, in eight
- * failure domains, and prints for each size, per node: messages and bytes a
- * second (encoded, with 28 bytes of UDP and IP each), processor time, memory,
- * and the store's calls.  Then the cost of one change.
+ * Simulates fleets of NODES idle nodes in one process, in eight failure
+ * domains, and prints for each size, per node: messages and bytes a second
+ * (encoded, with 28 bytes of UDP and IP headers each), processor time and
+ * memory, and the store reads a second of the whole fleet.  Then the time and
+ * the traffic until a configuration change is in force everywhere.
  */
 #include <cstdio>
 #include <cstdlib>
@@ -51,13 +52,13 @@
     const double seconds = 10;
 
     if (!f.settle(60000)) {
-        printf("%zu nodes do not settle\n", nodes);
+        printf("%zu nodes: membership did not settle\n", nodes);
         return;
     }
     f.run(15000);
     memory = (resident_mb() - memory) / nodes;
     f.sniff = [&bytes, &each](Proc &from, Proc *, const dw_msg *m) {
-        /* RPC header and envelope, UDP and IP headers. */
+        /* 72 bytes of RPC header and envelope, 28 of UDP and IP headers. */
         uint64_t n = msg_size(m) + 72 + 28;
 
         bytes += n;
--- a/test/fleet.sh
+++ b/test/fleet.sh
@@ -1,12 +1,12 @@
-# Functions for a fleet of plain processes on loopback; source this file.
+# Functions that run a fleet as processes on loopback; source this file.
 #
 #   fleet_start DIR ENTRIES AGENTS [SLOTS]   three failure domains
 #   fleet_stop                               stops what fleet_start started
 #   fleet_pid NAME                           the process id of store, e1, a1, b1
 #
-# Ports follow FLEET_BASE, which is found free: the store has BASE, entry i BASE+100+i and
-# HTTP BASE+200+i, agent i BASE+300+i and HTTP BASE+400+i, backend server i
-# BASE+500+i.
+# Ports are offsets from FLEET_BASE, which fleet_take_ports chooses: the store
+# has BASE, entry i BASE+100+i and HTTP BASE+200+i, agent i BASE+300+i and HTTP
+# BASE+400+i, backend server i BASE+500+i.
 
 . test/known-red.sh
 
@@ -14,8 +14,8 @@
 FLEET_TOKEN=operators-secret
 FLEET_DOMAINS="kolding aarhus herning"
 
-# Several fleets may run on one machine: each takes 700 ports for itself, held
-# by a directory with the process id of the script that has them.
+# Several fleets may run on one machine: each reserves 700 ports by a lock
+# directory that holds the process id of the script.
 FLEET_LOCK=
 fleet_take_ports() {
     local base lock pid
@@ -106,7 +106,7 @@
         $((FLEET_BASE + 400 + $1)) "${FLEET_SLOTS:-8}"
 }
 
-# Wait until an HTTP address answers 200, for ten seconds at most.
+# fleet_await URL: waits until a GET succeeds, for about ten seconds at most
 fleet_await() {
     local n=0
     until curl -fs --noproxy '*' -o /dev/null "$1"; do
@@ -140,7 +140,7 @@
     done
 }
 
-# Quietly: the shell would tell of each process killed.
+# Standard error of wait is discarded: the shell reports each killed process.
 fleet_stop() {
     local f
     for f in "$FLEET_DIR"/*.pid; do
@@ -159,7 +159,7 @@
         -t "$FLEET_TOKEN" "$@"
 }
 
-# For the test scripts; they count in $passed and $failed.
+# Compares and counts in the caller's $passed and $failed.
 expect() { # NAME WANTED GOT
     if [ "$2" = "$3" ]; then
         passed=$((passed + 1))
--- a/test/path.sh
+++ b/test/path.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# The whole path, with one entry and three agents as separate processes.  A
-# caller submits a job of three tasks and gets the whole answer; the same key
-# again gets the kept answer and starts nothing; the same key with another
-# body is refused; a wrong token is refused; a cancel of an unknown key says
-# so; a planned stop of the entry answers what waits.
+# End to end, with one entry and three agents as separate processes.  A caller
+# submits a job of three tasks and gets the complete answer; the same key again
+# gets the stored answer and starts nothing; the same key with another body is
+# refused; so are a wrong token and malformed requests; a cancel of an unknown
+# key returns 404; a planned stop of the entry answers the pending job.
 set -u
 cd "$(dirname "$0")/.."
 . test/fleet.sh
@@ -35,12 +35,12 @@
 job='{"tasks":[{"kind":"k","payload":"20"},{"kind":"k","payload":"30"},{"kind":"k","payload":"10"}]}'
 answer=$(call POST /v1/jobs key-1 "$job")
 expect "job of three tasks" 200 "$(status_of "$answer")"
-expect "whole answer" 3 "$(echo "$answer" | grep -o '"state":"done"' | wc -l)"
+expect "result of every task" 3 "$(echo "$answer" | grep -o '"state":"done"' | wc -l)"
 expect "started once each" 3 "$(starts)"
 again=$(call POST /v1/jobs key-1 "$job")
-expect "kept answer" "$answer" "$again"
+expect "stored answer" "$answer" "$again"
 expect "nothing started again" 3 "$(starts)"
-expect "other body" 422 "$(status_of "$(call POST /v1/jobs key-1 '{"tasks":[{"kind":"k"}]}')")"
+expect "same key with another body" 422 "$(status_of "$(call POST /v1/jobs key-1 '{"tasks":[{"kind":"k"}]}')")"
 expect "get" 200 "$(status_of "$(call GET /v1/jobs/key-1 '' '')")"
 expect "get unknown" 404 "$(status_of "$(call GET /v1/jobs/key-none '' '')")"
 expect "cancel unknown" 404 "$(status_of "$(call DELETE /v1/jobs/key-none '' '')")"
@@ -55,13 +55,13 @@
 deep=$(printf '[%.0s' $(seq 40))$(printf ']%.0s' $(seq 40))
 expect "too deep" 400 "$(status_of "$(call POST /v1/jobs key-5 "{\"tasks\":[{\"kind\":\"k\",\"payload\":$deep}]}")")"
 named=$(call POST /v1/jobs key-5 '{"tasks":[{"kind":"k"},{"kind":"k","millicores":-1}]}')
-expect "error names the place" 1 "$(echo "$named" | grep -c 'tasks\[1\].millicores')"
+expect "error names the field" 1 "$(echo "$named" | grep -c 'tasks\[1\].millicores')"
 expect "bad method" 405 "$(status_of "$(call PUT /v1/jobs key-5 '{}')")"
 expect "no such path" 404 "$(status_of "$(call GET /v1/nothing '' '')")"
-# A caller that stops in the middle of its request costs no one else.
+# A caller that stops in the middle of its request does not delay others.
 exec 5<>"/dev/tcp/127.0.0.1/$((FLEET_BASE + 201))"
 printf 'POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{' >&5
-expect "beside a slow caller" 200 "$(status_of "$(call POST /v1/jobs key-slow '{"tasks":[{"kind":"k"}]}')")"
+expect "another caller is not delayed" 200 "$(status_of "$(call POST /v1/jobs key-slow '{"tasks":[{"kind":"k"}]}')")"
 exec 5>&-
 big=$(head -c 2000000 /dev/zero | tr '\0' 'x')
 echo "$big" > "$dir/big"
@@ -74,12 +74,12 @@
 sleep 0.2
 kill -TERM "$(fleet_pid e1)"
 wait $slow
-expect "planned stop answers" 200 "$(status_of "$(cat "$dir/slow")")"
+expect "planned stop of an entry answers its job" 200 "$(status_of "$(cat "$dir/slow")")"
 n=0
 while kill -0 "$(fleet_pid e1)" 2>/dev/null && [ $n -lt 100 ]; do
     sleep 0.1
     n=$((n + 1))
 done
-expect "entry has left" 1 "$([ $n -lt 100 ] && echo 1)"
+expect "entry exited" 1 "$([ $n -lt 100 ] && echo 1)"
 echo "$passed passed, $failed failed"
 [ "$failed" -eq 0 ]
--- a/test/ports.hh
+++ b/test/ports.hh
@@ -1,7 +1,8 @@
 /*
- * ports - TCP and UDP ports for tests that nobody else uses
+ * ports - free TCP and UDP ports for tests
  *
- * Several test programs may run on one machine at a time.
+ * The ports are not fixed, as several test programs may run on one machine at
+ * a time.
  */
 #ifndef PORTS_HH
 #define PORTS_HH
@@ -13,6 +14,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+/* A TCP port on loopback that was free when the call was made. */
 inline uint16_t
 free_port()
 {
@@ -28,7 +30,7 @@
     return ntohs(sa.sin_port);
 }
 
-/* The same free port for the same number, within one process. */
+/* A free port; the same one for each call with the same number. */
 inline uint16_t
 port_of(int number)
 {
--- a/test/rest.sh
+++ b/test/rest.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# What daemons cost at rest: real processes on loopback, for several sizes.
+# Measures processor, network, memory and store use of idle daemons on loopback,
+# for several fleet sizes.
 # usage: test/rest.sh [AGENTS ...]
 set -u
 cd "$(dirname "$0")/.."
 . test/fleet.sh
-sum() { # NAME: over all daemons
+sum() { # NAME: sum of a metric over all daemons
     for p in $ports; do curl -s --noproxy '*' "http://127.0.0.1:$p/metrics"; done |
         awk -v n="dunlinweir_$1" '$1 == n {s += $2} END {printf "%.0f", s}'
 }
--- a/test/shards.sh
+++ b/test/shards.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Run a GoogleTest program in as many shards as there are processors and sum
-# up.  RapidCheck's seed is fixed, so that the verdict is the same each time.
+# Runs a GoogleTest program in as many parallel shards as there are processors
+# and prints the totals.  RapidCheck's seed is fixed for reproducible results.
 set -u
 . "$(dirname "$0")/known-red.sh"
 program=$1
@@ -29,7 +29,8 @@
             new=$((new + 1))
         fi
     done <<< "$red"
-    # 1 is a failed case; a crash or an early end is more, or has no case.
+    # Exit status 1 with a failed test is counted above.  A higher status is a
+    # crash; a status other than 0 without a failed test is an early exit.
     code=$(cat "$dir/exit-$i")
     if [ "$code" -gt 1 ] || { [ "$code" -ne 0 ] && [ -z "$red" ]; }; then
         new=$((new + 1))
--- a/test/soak.sh
+++ b/test/soak.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The real daemons under overlapping faults; see test/soak.h.
-# usage: test/soak.sh [SECONDS [SEED ...]]; the seeds of one line run at once.
-# Logs of a seed that failed stay in out/soak-SEED.
+# Fault injection test of the daemons; see test/soak.h.
+# usage: test/soak.sh [SECONDS [SEED ...]]; the seeds run in parallel.
+# The logs of a failed seed are kept in out/soak-SEED.
 set -u
 cd "$(dirname "$0")/.."
 . test/fleet.sh
