--- a/agent.c
+++ b/agent.c
@@ -104,7 +104,7 @@
     if (free_millicores <= 0 || before == 0) {
         return free_millicores;
     }
-    return (int64_t)num_minus((uint64_t)free_millicores, before);
+    return (int64_t)num_sub_sat((uint64_t)free_millicores, before);
 }
 
 static bool
--- a/agentd.c
+++ b/agentd.c
@@ -358,11 +358,12 @@
 
     s->state = w;
     w->s = s;
-    snprintf(w->url, sizeof(w->url), "http://%s", s->conf->platform.worker);
+    snprintf(w->url, sizeof(w->url), "http://%s",
+        s->conf->platform.worker_endpoint);
     w->http = httpc_new(s->loop, WORKER_CONNECTIONS);
     w->look_http = httpc_new(s->loop, 1);
     ag_init(&w->agent, proc_now(), &ag_ops, w);
-    conf_endpoint(&at, s->conf->platform.announce);
+    conf_endpoint(&at, s->conf->platform.announce_listen);
     cfg.port = at.port;
     return web_open(&w->announce, s->loop, &cfg, on_announce, on_announce_gone,
                w, e) == WEB_OK
--- a/api.c
+++ b/api.c
@@ -1,3 +1,7 @@
+/*
+ * The HTTP interface of a process: jobs of callers, announcements of the
+ * backend server, metrics and probes.
+ */
 #include <inttypes.h>
 #include <jansson.h>
 #include <stdlib.h>
@@ -9,20 +13,21 @@
 
 #define JOBS_PATH "/v1/jobs"
 #define BACKEND_PATH "/v1/backend"
-#define KIND_MAX 63
-#define PAYLOAD_MAX 65536
-#define DEPTH_MAX 32
+#define KIND_MAX_BYTES 63
+#define PAYLOAD_MAX_BYTES 65536
+#define JSON_DEPTH_MAX 32
 #define DEADLINE_MAX_MS 3600000
 
-/* A caller that waits for an answer. */
+/* A caller's HTTP request whose answer is pending. */
 struct waiter {
-    uint64_t request;
+    uint64_t request_id; /* key of daemon.waiters */
     struct web_req *r;
     struct subkey sk;
-    bool cancel;
+    bool is_cancel; /* not_run and failed are successes, then */
     UT_hash_handle hh;
 };
 
+/* A submission's state as callers see it. */
 static const char *const state_names[] = {
     [DW_A_COMPLETE] = "complete",
     [DW_A_FAILED] = "failed",
@@ -33,6 +38,7 @@
     [DW_A_RUNNING] = "running",
 };
 
+/* A task's state as callers see it. */
 static const char *const task_names[] = {
     [DW_T_WAITING] = "not_started",
     [DW_T_OFFERED] = "unknown",
@@ -47,7 +53,7 @@
 
 /* --- answers --- */
 
-/* A refusal's reason and the HTTP status that fits it. */
+/* HTTP status and problem detail for each reason of a refusal. */
 static const struct {
     const char *reason;
     unsigned status;
@@ -55,17 +61,17 @@
 } refusals[] = {
     {"over_limit", 429, "a limit of the contract is reached; nothing was run"},
     {"limits_settling", 503,
-        "the customer's limits are being settled after a change of the "
+        "the customer's limits are being rebuilt after a change of the "
         "agent that lends them; nothing was run"},
     {"too_old", 503,
-        "the request waited too long on its way to be started safely; "
+        "the request was delayed too long to be started safely; "
         "nothing was run"},
     {"never_fits", 422,
-        "no worker in service could hold one of the tasks; nothing was run"},
-    {"overloaded", 503, "too much work waits; nothing was run"},
+        "one of the tasks exceeds the capacity of every worker in service; "
+        "nothing was run"},
+    {"overloaded", 503, "too much work is queued; nothing was run"},
     {"deadline_cannot_be_met", 503,
-        "the deadline would pass before the work could start; nothing was "
-        "run"},
+        "the work could not start before the deadline; nothing was run"},
     {"deadline", 503, "the deadline passed before anything was started"},
     {"cancelled", 409, "the submission was cancelled before it was run"},
 };
@@ -95,9 +101,9 @@
         return 202;
     case DW_A_FAILED:
         *detail = "not every task succeeded; see tasks for what ran";
-        return w->cancel ? 200 : 500;
+        return w->is_cancel ? 200 : 500;
     case DW_A_NOT_RUN:
-        if (w->cancel) {
+        if (w->is_cancel) {
             return 200;
         }
         return refusal_status(reason, detail);
@@ -111,8 +117,8 @@
         *detail = "no submission is known under this key";
         return 404;
     }
-    *detail = "it cannot be known whether this submission was run; ask "
-              "again with the same key";
+    *detail = "it is not known whether this submission was run; retry with "
+              "the same key";
     return 504;
 }
 
@@ -132,7 +138,7 @@
                 t->body.dw_bytes_val != NULL ? t->body.dw_bytes_val : "",
                 t->body.dw_bytes_len);
 
-            /* A result that is no UTF-8 text goes as hexadecimal. */
+            /* A result that is not UTF-8 is sent as hexadecimal. */
             if (body != NULL) {
                 json_object_set_new(row, "body", body);
             }
@@ -207,24 +213,24 @@
 }
 
 void
-api_gone(void *ctx, struct web_req *r)
+api_caller_left(void *ctx, struct web_req *r)
 {
     struct daemon *d = ctx;
     struct waiter *w = web_ctx(r);
 
-    ops_gone(d, r);
+    ops_caller_left(d, r);
     if (w == NULL || ops_is_path(web_path(r))) {
         return;
     }
     HASH_DEL(d->waiters, w);
-    node_gone(&d->node, proc_now(), w->request);
+    node_gone(&d->node, proc_now(), w->request_id);
     free(w);
 }
 
-/* --- reading a job --- */
+/* --- parsing a job --- */
 
 static int
-depth(const json_t *v)
+json_depth(const json_t *v)
 {
     int deepest = 0;
     const char *name;
@@ -232,12 +238,12 @@
     size_t i;
 
     json_object_foreach ((json_t *)v, name, child) {
-        int n = depth(child);
+        int n = json_depth(child);
 
         deepest = n > deepest ? n : deepest;
     }
     json_array_foreach (v, i, child) {
-        int n = depth(child);
+        int n = json_depth(child);
 
         deepest = n > deepest ? n : deepest;
     }
@@ -276,9 +282,9 @@
         text = json_dumps(v, JSON_COMPACT | JSON_ENCODE_ANY);
         s = str_of(text);
     }
-    if (s.n > PAYLOAD_MAX) {
-        err_set(e, "tasks[%zu].payload: %zu bytes, at most %d are taken",
-            index, s.n, PAYLOAD_MAX);
+    if (s.n > PAYLOAD_MAX_BYTES) {
+        err_set(e, "tasks[%zu].payload: %zu bytes, at most %d are allowed",
+            index, s.n, PAYLOAD_MAX_BYTES);
         free(text);
         return false;
     }
@@ -288,9 +294,9 @@
 }
 
 static bool
-kind_ok(const char *kind)
+is_valid_kind(const char *kind)
 {
-    return kind != NULL && kind[0] != '\0' && strlen(kind) <= KIND_MAX &&
+    return kind != NULL && kind[0] != '\0' && strlen(kind) <= KIND_MAX_BYTES &&
            sk_key_ok(str_of(kind));
 }
 
@@ -314,11 +320,11 @@
             return false;
         }
     }
-    if (!kind_ok(kind)) {
+    if (!is_valid_kind(kind)) {
         err_set(e,
             "tasks[%zu].kind: want 1 to %d printable bytes without "
             "spaces or quotes",
-            index, KIND_MAX);
+            index, KIND_MAX_BYTES);
         return false;
     }
     t->index = (u_int)index;
@@ -373,7 +379,7 @@
 }
 
 static bool
-known_members(json_t *o, struct err *e)
+check_members(json_t *o, struct err *e)
 {
     const char *name;
     json_t *v;
@@ -401,11 +407,11 @@
     else if (!json_is_object(o)) {
         err_set(e, "want an object with a list 'tasks'");
     }
-    else if (depth(o) > DEPTH_MAX) {
-        err_set(e, "more than %d levels deep", DEPTH_MAX);
+    else if (json_depth(o) > JSON_DEPTH_MAX) {
+        err_set(e, "more than %d levels deep", JSON_DEPTH_MAX);
     }
     else {
-        ok = known_members(o, e) && read_deadline(o, deadline_ms, e) &&
+        ok = check_members(o, e) && read_deadline(o, deadline_ms, e) &&
              read_tasks(c, json_object_get(o, "tasks"), s, e);
     }
     json_decref(o);
@@ -415,7 +421,7 @@
 /* --- callers --- */
 
 static struct str
-bearer(const struct web_req *r)
+bearer_token(const struct web_req *r)
 {
     const char *h = web_header(r, "Authorization");
 
@@ -428,7 +434,7 @@
 static const struct contract *
 authenticate(struct daemon *d, const struct web_req *r)
 {
-    struct str token = bearer(r);
+    struct str token = bearer_token(r);
     const struct view_contract *vc;
     char hash[CT_HASH_HEX + 1];
 
@@ -444,10 +450,11 @@
     return NULL;
 }
 
-/* How long a request may have waited in the kernel: since the loop last
- * ran, which is long ago if this process was paused. */
+/* Upper bound of the ms that a request waited in the kernel before it was
+ * read: the time since the loop last ran, which is long if the process was
+ * suspended. */
 static uint32_t
-unseen_ms(const struct daemon *d)
+max_unread_ms(const struct daemon *d)
 {
     uint64_t now = proc_now();
 
@@ -455,28 +462,29 @@
 }
 
 static void
-wait_for(struct daemon *d, struct web_req *r, const struct contract *c,
+start_request(struct daemon *d, struct web_req *r, const struct contract *c,
     struct str key, enum front_kind kind, dw_msg *msg, uint32_t deadline_ms)
 {
     struct waiter *w = dw_zero(1, sizeof(*w));
     dw_submit *s = &msg->dw_msg_u.submit;
 
-    w->request = ++d->next_request;
+    w->request_id = ++d->next_request;
     w->r = r;
-    w->cancel = kind == FRONT_CANCEL;
+    w->is_cancel = kind == FRONT_CANCEL;
     sk_make(&w->sk, str_of(c->customer), key);
     s->customer = str_to_bytes(str_of(c->customer));
     s->key = str_to_bytes(key);
-    HASH_ADD(hh, d->waiters, request, sizeof(w->request), w);
+    HASH_ADD(hh, d->waiters, request_id, sizeof(w->request_id), w);
     web_set_ctx(r, w);
-    if (node_request(&d->node, proc_now(), w->request, kind, msg, unseen_ms(d),
-            deadline_ms, &d->acts) != FRONT_OK) {
+    if (node_request(&d->node, proc_now(), w->request_id, kind, msg,
+            max_unread_ms(d), deadline_ms, &d->acts) != FRONT_OK) {
         HASH_DEL(d->waiters, w);
         web_set_ctx(r, NULL);
         free(w);
-        /* The key may belong to a job that runs: not "not run". */
+        /* The key may belong to a running job, so the reply must not be "not
+         * run". */
         web_problem(r, 503, "entry_full",
-            "too many requests wait here; it is not known whether this "
+            "too many requests are pending here; it is not known whether this "
             "submission was run before",
             1);
         return;
@@ -516,12 +524,12 @@
         return;
     }
     s->body_hash = str_hash(web_body(r), 1) | 1;
-    wait_for(d, r, c, str_of(key), FRONT_SUBMIT, m, deadline_ms);
+    start_request(d, r, c, str_of(key), FRONT_SUBMIT, m, deadline_ms);
 }
 
 static void
-job_by_key(struct daemon *d, struct web_req *r, const struct contract *c,
-    const char *key)
+handle_job_by_key(struct daemon *d, struct web_req *r,
+    const struct contract *c, const char *key)
 {
     enum front_kind kind = FRONT_POLL;
 
@@ -536,7 +544,7 @@
         web_problem(r, 405, "bad_method", "want GET or DELETE", 0);
         return;
     }
-    wait_for(
+    start_request(
         d, r, c, str_of(key), kind, new_submit(), d->conf.default_deadline_ms);
 }
 
@@ -548,11 +556,13 @@
 
     if (d->leaving) {
         web_problem(r, 503, "leaving",
-            "this entry is stopping; ask another with the same key", 1);
+            "this entry is stopping; retry at another entry with the same key",
+            1);
         return;
     }
     if (d->node.view.rev == 0) {
-        web_problem(r, 503, "starting", "this entry has no state yet", 1);
+        web_problem(r, 503, "starting",
+            "this entry has not received its state yet", 1);
         return;
     }
     if (c == NULL) {
@@ -561,7 +571,7 @@
         return;
     }
     if (rest[0] == '/') {
-        job_by_key(d, r, c, rest + 1);
+        handle_job_by_key(d, r, c, rest + 1);
     }
     else if (strcmp(web_method(r), "POST") != 0) {
         web_problem(r, 405, "bad_method", "want POST", 0);
@@ -619,7 +629,7 @@
     carry_out(d);
 }
 
-/* --- queries about this process --- */
+/* --- metrics and probes --- */
 
 static void
 handle_metrics(struct daemon *d, struct web_req *r)
--- a/base64.h
+++ b/base64.h
@@ -1,5 +1,5 @@
 /*
- * base64 - bytes as text and back, over nettle's codec (RFC 4648, padded)
+ * base64 - base64 with padding (RFC 4648), by nettle
  */
 #ifndef BASE64_H
 #define BASE64_H
@@ -8,8 +8,10 @@
 
 #include "str.h"
 
+/* Append s, encoded, to b. */
 void base64_add(struct buf *b, struct str s);
-/* NULL if z is not base64; else bytes to free(3), NUL added. */
+/* Decode z: *n bytes and a NUL after them, to be freed with free(3); NULL if z
+ * is not base64. */
 char *base64_read(const char *z, size_t *n);
 
 #endif
--- a/conf.c
+++ b/conf.c
@@ -10,37 +10,39 @@
 
 enum kind { KIND_U16, KIND_U32, KIND_SECONDS, KIND_TEXT, KIND_CHOICE };
 
-/* Whether a setting must be there. */
-enum need {
-    NEED_NOT,
-    NEED_ALWAYS,
-    NEED_ALONE /* unless the process runs on the users' platform */
+/* When a setting must be present. */
+enum requirement {
+    REQ_OPTIONAL,
+    REQ_ALWAYS,
+    REQ_STANDALONE /* if platform.store is not set */
 };
 
 typedef bool (*check_fn)(const char *text);
 
+/* A key of the file, its field in struct conf and its allowed values. */
 struct setting {
     const char *key;
     enum kind kind;
-    size_t offset;
-    int64_t min; /* for text: the most bytes is max */
+    size_t offset; /* of the field in struct conf */
+    int64_t min;   /* KIND_TEXT: max is the longest length in bytes */
     int64_t max;
-    enum need need;
-    const char *const *choices;
-    check_fn check;
-    const char *allowed;
+    enum requirement required;
+    const char *const *choices; /* KIND_CHOICE: stored as the index */
+    check_fn check;             /* KIND_TEXT; may be NULL */
+    const char *allowed;        /* KIND_TEXT: for the error message */
 };
 
-/* What the reading carries along. */
-struct reading {
+/* Context of set_value(). */
+struct parse_ctx {
     struct conf *c;
     const char *path;
-    bool *seen;
+    bool *seen; /* by index of the setting: the file has it */
 };
 
-static const char *const roles[] = {"entry", "agent", NULL};
-static const char *const placements[] = {"free", "random", "round", NULL};
-static const char *const levels[] = {"error", "warn", "info", "debug", NULL};
+static const char *const role_names[] = {"entry", "agent", NULL};
+static const char *const placement_names[] = {"free", "random", "round", NULL};
+static const char *const log_levels[] = {
+    "error", "warn", "info", "debug", NULL};
 
 static bool
 is_address(const char *text)
@@ -63,9 +65,8 @@
            strncmp(text, "https://", 8) == 0;
 }
 
-/* Empty, or ADDRESS:PORT. */
 static bool
-is_endpoint(const char *text)
+is_empty_or_endpoint(const char *text)
 {
     struct conf_endpoint at;
 
@@ -78,62 +79,64 @@
     return strlen(text) >= 8;
 }
 
-#define AT(field) offsetof(struct conf, field)
+#define OFFSET(field) offsetof(struct conf, field)
 #define NAME_ALLOWED "1 to 63 of a-z 0-9 '-' '_' '.'"
 
-#define TEXT(k, field, req, fn, words)                                        \
+#define TEXT(k, field, req, fn, allowed_text)                                 \
     {                                                                         \
-        k, KIND_TEXT, AT(field), 0, sizeof(((struct conf *)0)->field) - 1,    \
-            req, NULL, fn, words                                              \
+        k, KIND_TEXT, OFFSET(field), 0,                                       \
+            sizeof(((struct conf *)0)->field) - 1, req, NULL, fn,             \
+            allowed_text                                                      \
     }
 #define NUMBER(k, field, lo, hi)                                              \
     {                                                                         \
-        k, KIND_U32, AT(field), lo, hi, NEED_NOT, NULL, NULL, NULL            \
+        k, KIND_U32, OFFSET(field), lo, hi, REQ_OPTIONAL, NULL, NULL, NULL    \
     }
 #define PORT(k, field, req)                                                   \
     {                                                                         \
-        k, KIND_U16, AT(field), 1, 65535, req, NULL, NULL, NULL               \
+        k, KIND_U16, OFFSET(field), 1, 65535, req, NULL, NULL, NULL           \
     }
 #define SECONDS(k, field, lo, hi)                                             \
     {                                                                         \
-        k, KIND_SECONDS, AT(field), lo, hi, NEED_NOT, NULL, NULL, NULL        \
+        k, KIND_SECONDS, OFFSET(field), lo, hi, REQ_OPTIONAL, NULL, NULL,     \
+            NULL                                                              \
     }
 
 static const struct setting settings[] = {
-    {"process.role", KIND_CHOICE, AT(node.me.role), 0, 0, NEED_ALWAYS, roles,
-        NULL, NULL},
-    TEXT("process.name", node.me.name, NEED_ALWAYS, is_name, NAME_ALLOWED),
-    TEXT("process.domain", node.me.domain, NEED_ALWAYS, is_name, NAME_ALLOWED),
-    TEXT("process.rack", node.me.rack, NEED_NOT, is_name, NAME_ALLOWED),
-    TEXT("process.address", node.me.addr, NEED_ALWAYS, is_address,
+    {"process.role", KIND_CHOICE, OFFSET(node.me.role), 0, 0, REQ_ALWAYS,
+        role_names, NULL, NULL},
+    TEXT("process.name", node.me.name, REQ_ALWAYS, is_name, NAME_ALLOWED),
+    TEXT("process.domain", node.me.domain, REQ_ALWAYS, is_name, NAME_ALLOWED),
+    TEXT("process.rack", node.me.rack, REQ_OPTIONAL, is_name, NAME_ALLOWED),
+    TEXT("process.address", node.me.addr, REQ_ALWAYS, is_address,
         "a numeric IPv4 address"),
-    PORT("process.port", node.me.port, NEED_ALWAYS),
-    PORT("process.http_port", node.me.http, NEED_ALONE),
+    PORT("process.port", node.me.port, REQ_ALWAYS),
+    PORT("process.http_port", node.me.http, REQ_STANDALONE),
     NUMBER("process.leave_max_ms", leave_max_ms, 1000, 3600000),
-    TEXT("store.url", store_url, NEED_ALONE, is_url,
+    TEXT("store.url", store_url, REQ_STANDALONE, is_url,
         "an http:// or https:// URL"),
     NUMBER("store.timeout_ms", store_timeout_ms, 50, 60000),
-    TEXT("operators.token", operator_token, NEED_NOT, is_token,
+    TEXT("operators.token", operator_token, REQ_OPTIONAL, is_token,
         "8 bytes or more"),
-    NUMBER("operators.audit_kept", audit_kept, 10, 100000),
-    TEXT("log.file", log_file, NEED_NOT, NULL, "a path"),
-    {"log.level", KIND_CHOICE, AT(log_level), 0, 0, NEED_NOT, levels, NULL,
-        NULL},
-    NUMBER("log.trail", trail_max, 1, 10000000),
+    NUMBER("operators.audit_kept", audit_entries_max, 10, 100000),
+    TEXT("log.file", log_file, REQ_OPTIONAL, NULL, "a path"),
+    {"log.level", KIND_CHOICE, OFFSET(log_level), 0, 0, REQ_OPTIONAL,
+        log_levels, NULL, NULL},
+    NUMBER("log.trail", trail_events_max, 1, 10000000),
     NUMBER("worker.slots", node.host.slots, 1, 10000),
     NUMBER("worker.millicores", node.host.millicores, 1, 1024000),
     NUMBER("worker.memory_mb", node.host.memory_mb, 1, 4194304),
     NUMBER("worker.queue", node.host.queue_max, 0, 100000),
-    NUMBER("worker.lease_ms", lease_ms, 500, 600000),
-    TEXT("worker.url", worker_url, NEED_NOT, is_url,
+    NUMBER("worker.lease_ms", task_lease_ms, 500, 600000),
+    TEXT("worker.url", worker_url, REQ_OPTIONAL, is_url,
         "an http:// or https:// URL"),
-    TEXT("backend.url", backend_url, NEED_NOT, is_url,
+    TEXT("backend.url", backend_url, REQ_OPTIONAL, is_url,
         "an http:// or https:// URL"),
-    NUMBER("backend.connections", connections, 1, 10000),
-    NUMBER("backend.announce_ms", announce_ms, 500, 600000),
-    NUMBER("callers.body_max", body_max, 1024, 16777216),
-    NUMBER("callers.connections", callers_max, 1, 1000000),
-    NUMBER("callers.idle_s", idle_s, 1, 3600),
+    NUMBER("backend.connections", backend_connections_max, 1, 10000),
+    NUMBER("backend.announce_ms", announce_timeout_ms, 500, 600000),
+    NUMBER("callers.body_max", body_max_bytes, 1024, 16777216),
+    NUMBER("callers.connections", caller_connections_max, 1, 1000000),
+    NUMBER("callers.idle_s", caller_idle_s, 1, 3600),
     NUMBER("callers.deadline_ms", default_deadline_ms, 10, 3600000),
     NUMBER("callers.waiting", node.front.requests_max, 1, 1000000),
     NUMBER("callers.hold_ms", node.front.hold_ms, 100, 600000),
@@ -150,29 +153,29 @@
     NUMBER("jobs.waiting", node.job.waiting_max, 1, 10000000),
     NUMBER("jobs.move_ms", node.job.move_ms, 10, 600000),
     NUMBER("jobs.queue_allow", node.place.queue_allow, 0, 1000),
-    {"jobs.placement", KIND_CHOICE, AT(node.place.policy), 0, 0, NEED_NOT,
-        placements, NULL, NULL},
+    {"jobs.placement", KIND_CHOICE, OFFSET(node.place.policy), 0, 0,
+        REQ_OPTIONAL, placement_names, NULL, NULL},
     NUMBER("jobs.scan_max", node.place.scan_max, 0, 10000),
     NUMBER("jobs.sample", node.place.sample, 1, 64),
     NUMBER("jobs.load_hints", node.place.hints, 0, 8),
     NUMBER("loans.valid_ms", node.lend.valid_ms, 2000, 600000),
     NUMBER("loans.hold_ms", node.lend.hold_ms, 1000, 3600000),
     NUMBER("loans.wait_ms", node.lend.wait_ms, 0, 60000),
-    TEXT("platform.store", platform.store, NEED_NOT, is_url,
+    TEXT("platform.store", platform.store_url, REQ_OPTIONAL, is_url,
         "an http:// or https:// URL"),
-    TEXT("platform.callers", platform.callers, NEED_NOT, is_endpoint,
-        "ADDRESS:PORT"),
-    TEXT("platform.readiness", platform.readiness, NEED_NOT, is_endpoint,
-        "ADDRESS:PORT"),
-    TEXT("platform.announce", platform.announce, NEED_NOT, is_endpoint,
-        "ADDRESS:PORT"),
-    TEXT("platform.worker", platform.worker, NEED_NOT, is_endpoint,
-        "ADDRESS:PORT"),
-    TEXT("platform.metrics", platform.metrics, NEED_NOT, is_endpoint,
-        "ADDRESS:PORT"),
-    TEXT("platform.service", platform.service, NEED_NOT, NULL, "a text"),
+    TEXT("platform.callers", platform.callers_listen, REQ_OPTIONAL,
+        is_empty_or_endpoint, "ADDRESS:PORT"),
+    TEXT("platform.readiness", platform.readiness_listen, REQ_OPTIONAL,
+        is_empty_or_endpoint, "ADDRESS:PORT"),
+    TEXT("platform.announce", platform.announce_listen, REQ_OPTIONAL,
+        is_empty_or_endpoint, "ADDRESS:PORT"),
+    TEXT("platform.worker", platform.worker_endpoint, REQ_OPTIONAL,
+        is_empty_or_endpoint, "ADDRESS:PORT"),
+    TEXT("platform.metrics", platform.metrics_listen, REQ_OPTIONAL,
+        is_empty_or_endpoint, "ADDRESS:PORT"),
+    TEXT("platform.service", platform.service, REQ_OPTIONAL, NULL, "a text"),
     SECONDS("platform.grace_s", platform.grace_ms, 1, 3600),
-    NUMBER("platform.resend_ms", platform.resend_ms, 1, 3600000),
+    NUMBER("platform.resend_ms", platform.caller_resend_ms, 1, 3600000),
 };
 
 #define SETTING_COUNT (sizeof(settings) / sizeof(settings[0]))
@@ -184,22 +187,22 @@
     node_defaults(&c->node);
     c->store_timeout_ms = 1000;
     c->log_level = LOG_LEVEL_INFO;
-    c->connections = 60;
-    c->lease_ms = 10000;
-    c->announce_ms = 3000;
-    c->body_max = 1U << 20;
-    c->callers_max = 10000;
-    c->idle_s = 60;
+    c->backend_connections_max = 60;
+    c->task_lease_ms = 10000;
+    c->announce_timeout_ms = 3000;
+    c->body_max_bytes = 1U << 20;
+    c->caller_connections_max = 10000;
+    c->caller_idle_s = 60;
     c->default_deadline_ms = 30000;
     c->leave_max_ms = 60000;
-    c->trail_max = 20000;
-    c->audit_kept = 2000;
+    c->trail_events_max = 20000;
+    c->audit_entries_max = 2000;
     c->platform.grace_ms = 6000;
-    c->platform.resend_ms = 1300;
+    c->platform.caller_resend_ms = 1300;
 }
 
 static enum conf_status
-refuse(const struct reading *r, const struct toml_value *v,
+bad_value(const struct parse_ctx *r, const struct toml_value *v,
     const char *allowed, struct err *e)
 {
     err_set(e, "%s:%u: key '%s': want %s", r->path, v->line, v->key, allowed);
@@ -207,7 +210,7 @@
 }
 
 static enum conf_status
-set_number(const struct reading *r, const struct setting *s,
+set_number(const struct parse_ctx *r, const struct setting *s,
     const struct toml_value *v, struct err *e)
 {
     char allowed[96];
@@ -216,7 +219,7 @@
     if (v->kind != TOML_NUMBER || v->number < s->min || v->number > s->max) {
         snprintf(allowed, sizeof(allowed), "a whole number from %lld to %lld",
             (long long)s->min, (long long)s->max);
-        return refuse(r, v, allowed, e);
+        return bad_value(r, v, allowed, e);
     }
     if (s->kind == KIND_U16) {
         *(uint16_t *)at = (uint16_t)v->number;
@@ -227,9 +230,9 @@
     return CONF_OK;
 }
 
-/* Kept as ms. */
+/* Seconds in the file, stored as ms. */
 static enum conf_status
-set_seconds(const struct reading *r, const struct setting *s,
+set_seconds(const struct parse_ctx *r, const struct setting *s,
     const struct toml_value *v, struct err *e)
 {
     char allowed[96];
@@ -241,26 +244,26 @@
             "a number of seconds from %lld to "
             "%lld",
             (long long)s->min, (long long)s->max);
-        return refuse(r, v, allowed, e);
+        return bad_value(r, v, allowed, e);
     }
     *(uint32_t *)((char *)r->c + s->offset) = (uint32_t)(n * 1000.0);
     return CONF_OK;
 }
 
 static enum conf_status
-set_text(const struct reading *r, const struct setting *s,
+set_text(const struct parse_ctx *r, const struct setting *s,
     const struct toml_value *v, struct err *e)
 {
     if (v->kind != TOML_TEXT || (int64_t)strlen(v->text) > s->max ||
         (s->check != NULL && !s->check(v->text))) {
-        return refuse(r, v, s->allowed, e);
+        return bad_value(r, v, s->allowed, e);
     }
     str_copy((char *)r->c + s->offset, (size_t)s->max + 1, str_of(v->text));
     return CONF_OK;
 }
 
 static enum conf_status
-set_choice(const struct reading *r, const struct setting *s,
+set_choice(const struct parse_ctx *r, const struct setting *s,
     const struct toml_value *v, struct err *e)
 {
     struct buf allowed = {0};
@@ -274,7 +277,7 @@
         }
         buf_addf(&allowed, "%s\"%s\"", i > 0 ? " or " : "", s->choices[i]);
     }
-    st = refuse(r, v, allowed.p, e);
+    st = bad_value(r, v, allowed.p, e);
     buf_free(&allowed);
     return st;
 }
@@ -282,7 +285,7 @@
 static enum conf_status
 set_value(void *ctx, const struct toml_value *v, struct err *e)
 {
-    const struct reading *r = ctx;
+    const struct parse_ctx *r = ctx;
 
     for (size_t i = 0; i < SETTING_COUNT; i++) {
         const struct setting *s = &settings[i];
@@ -308,14 +311,15 @@
     return CONF_BAD_VALUE;
 }
 
-/* Settings that only hold together. */
+/* Check settings that depend on each other, and set the derived ones. */
 static enum conf_status
-check_whole(struct conf *c, const char *path, struct err *e)
+check_combinations(struct conf *c, const char *path, struct err *e)
 {
     struct node_cfg *n = &c->node;
 
-    /* An attempt on its way must be older than max_age before the refusal
-     * of its key lapses; 3000 ms is the longest time in transit. */
+    /* An attempt in transit must exceed max_age_ms before the refusal of its
+     * key expires, or it could still be admitted.  The longest time in
+     * transit is 3000 ms. */
     if (n->job.refuse_ms < n->job.max_age_ms + 4000) {
         err_set(e,
             "%s: key 'jobs.refuse_ms': want at least jobs.max_age_ms "
@@ -323,24 +327,26 @@
             path, n->job.max_age_ms + 4000);
         return CONF_BAD_VALUE;
     }
-    if (c->platform.store[0] != '\0' && n->me.role == VIEW_ENTRY &&
-        (c->platform.callers[0] == '\0' || c->platform.readiness[0] == '\0')) {
+    if (c->platform.store_url[0] != '\0' && n->me.role == VIEW_ENTRY &&
+        (c->platform.callers_listen[0] == '\0' ||
+            c->platform.readiness_listen[0] == '\0')) {
         err_set(e,
             "%s: an entry with 'platform.store' wants "
             "'platform.callers' and 'platform.readiness'",
             path);
         return CONF_BAD_VALUE;
     }
-    if (c->platform.store[0] != '\0' && n->me.role == VIEW_AGENT &&
-        (c->platform.announce[0] == '\0' || c->platform.worker[0] == '\0')) {
+    if (c->platform.store_url[0] != '\0' && n->me.role == VIEW_AGENT &&
+        (c->platform.announce_listen[0] == '\0' ||
+            c->platform.worker_endpoint[0] == '\0')) {
         err_set(e,
             "%s: an agent with 'platform.store' wants "
             "'platform.announce' and 'platform.worker'",
             path);
         return CONF_BAD_VALUE;
     }
-    if (c->platform.store[0] != '\0' &&
-        c->platform.resend_ms <= CO_RUNS_OVER_MS) {
+    if (c->platform.store_url[0] != '\0' &&
+        c->platform.caller_resend_ms <= CO_RUNS_OVER_MS) {
         err_set(e,
             "%s: key 'platform.resend_ms': want more than %u, as runs of an "
             "entry that died may go on for so long",
@@ -359,10 +365,10 @@
 }
 
 static bool
-is_needed(const struct conf *c, const struct setting *s)
+is_required(const struct conf *c, const struct setting *s)
 {
-    return s->need == NEED_ALWAYS ||
-           (s->need == NEED_ALONE && c->platform.store[0] == '\0');
+    return s->required == REQ_ALWAYS ||
+           (s->required == REQ_STANDALONE && c->platform.store_url[0] == '\0');
 }
 
 bool
@@ -386,16 +392,16 @@
 conf_read(struct conf *c, const char *path, struct err *e)
 {
     bool seen[SETTING_COUNT] = {false};
-    struct reading r = {c, path, seen};
+    struct parse_ctx r = {c, path, seen};
     enum conf_status st;
 
     set_defaults(c);
     st = toml_each(path, set_value, &r, e);
     for (size_t i = 0; i < SETTING_COUNT && st == CONF_OK; i++) {
-        if (is_needed(c, &settings[i]) && !seen[i]) {
+        if (is_required(c, &settings[i]) && !seen[i]) {
             err_set(e, "%s: key '%s' is missing", path, settings[i].key);
             st = CONF_BAD_VALUE;
         }
     }
-    return st == CONF_OK ? check_whole(c, path, e) : st;
+    return st == CONF_OK ? check_combinations(c, path, e) : st;
 }
--- a/conf.h
+++ b/conf.h
@@ -19,69 +19,92 @@
 
 #define CONF_TEXT_MAX 256
 
-/* Where the users' platform is met; store is empty without one. */
+/*
+ * Section [platform]: the job platform that the process is part of.  If
+ * store_url is empty the process runs standalone and the section is unused.
+ */
 struct conf_platform {
-    char store[CONF_TEXT_MAX];     /* URL */
-    char callers[CONF_TEXT_MAX];   /* entry: ADDRESS:PORT */
-    char readiness[CONF_TEXT_MAX]; /* entry: ADDRESS:PORT */
-    char announce[CONF_TEXT_MAX];  /* agent: its worker reports there */
-    char worker[CONF_TEXT_MAX];    /* agent: ADDRESS:PORT of its worker */
-    char service[CONF_TEXT_MAX];   /* agent: what its worker runs */
-    char metrics[CONF_TEXT_MAX];   /* ADDRESS:PORT; empty: none */
-    uint32_t grace_ms;             /* from SIGTERM until SIGKILL */
-    uint32_t resend_ms;            /* until callers try elsewhere */
+    char store_url[CONF_TEXT_MAX]; /* the platform's key-value store */
+    /* Entry: ADDRESS:PORT that it listens on for callers. */
+    char callers_listen[CONF_TEXT_MAX];
+    /* Entry: ADDRESS:PORT that it listens on for readiness probes. */
+    char readiness_listen[CONF_TEXT_MAX];
+    /* Agent: ADDRESS:PORT that it listens on for its worker. */
+    char announce_listen[CONF_TEXT_MAX];
+    /* Agent: ADDRESS:PORT of its worker. */
+    char worker_endpoint[CONF_TEXT_MAX];
+    char service[CONF_TEXT_MAX]; /* agent: name of the worker's service */
+    /* ADDRESS:PORT that it serves metrics on; empty: none. */
+    char metrics_listen[CONF_TEXT_MAX];
+    uint32_t grace_ms;         /* from SIGTERM until SIGKILL */
+    uint32_t caller_resend_ms; /* until callers resend to another entry */
 };
 
+/* All settings of a daemon. */
 struct conf {
     char store_url[CONF_TEXT_MAX];
-    uint32_t store_timeout_ms;
+    uint32_t store_timeout_ms; /* per request to the store */
+    /* Bearer token of operators' requests; empty: all are rejected. */
     char operator_token[CONF_TEXT_MAX];
-    uint32_t audit_kept;             /* audit entries; the oldest give way */
-    char backend_url[CONF_TEXT_MAX]; /* empty: it announces itself */
-    char worker_url[CONF_TEXT_MAX];  /* empty: no usage reports */
+    uint32_t audit_entries_max; /* beyond it, the oldest are deleted */
+    /* Backend server; empty: it announces itself. */
+    char backend_url[CONF_TEXT_MAX];
+    char worker_url[CONF_TEXT_MAX]; /* empty: no usage reports */
     char log_file[CONF_TEXT_MAX];
-    uint32_t log_level;
-    uint32_t connections; /* to the backend server at once */
-    uint32_t lease_ms;    /* of a running task on its worker */
-    uint32_t announce_ms; /* an announcement lapses after */
-    uint32_t body_max;
-    uint32_t callers_max;
-    uint32_t idle_s;
-    uint32_t default_deadline_ms;
-    uint32_t leave_max_ms; /* a planned stop takes no longer */
-    uint32_t trail_max;    /* notes kept for explain */
+    uint32_t log_level;               /* LOG_LEVEL_... */
+    uint32_t backend_connections_max; /* concurrent, to the backend server */
+    uint32_t task_lease_ms;       /* lease of a running task on its worker */
+    uint32_t announce_timeout_ms; /* lifetime of an announcement */
+    uint32_t body_max_bytes;      /* request body */
+    uint32_t caller_connections_max; /* concurrent */
+    uint32_t caller_idle_s;          /* until an idle connection is closed */
+    uint32_t default_deadline_ms;    /* of a job that names no deadline */
+    uint32_t leave_max_ms;           /* longest duration of a planned stop */
+    uint32_t trail_events_max;       /* submission events kept for explain */
     struct node_cfg node;
     struct conf_platform platform;
 };
 
-enum conf_status { CONF_OK, CONF_BAD_FILE, CONF_BAD_SYNTAX, CONF_BAD_VALUE };
+enum conf_status {
+    CONF_OK,
+    CONF_BAD_FILE,   /* cannot be read */
+    CONF_BAD_SYNTAX, /* not TOML */
+    CONF_BAD_VALUE   /* a key is unknown or missing, or its value is invalid */
+};
 
+/* A network address and port. */
 struct conf_endpoint {
-    char addr[CONF_TEXT_MAX];
+    char addr[CONF_TEXT_MAX]; /* numeric IPv4 */
     uint16_t port;
 };
 
-/* Split ADDRESS:PORT; false if text is anything else. */
+/* Parse ADDRESS:PORT, numeric IPv4; false if text is malformed. */
 bool conf_endpoint(struct conf_endpoint *at, const char *text);
-/* Read a file into c, which gets defaults first. */
+/*
+ * Read and check the file at path.  Settings that it leaves out get their
+ * defaults.  On failure e has the message and c is incomplete.
+ */
 enum conf_status conf_read(struct conf *c, const char *path, struct err *e);
 
-/* --- the reader of the format; toml.cc --- */
+/* --- TOML parser; toml.cc --- */
 
 enum toml_kind { TOML_TEXT, TOML_NUMBER, TOML_REAL, TOML_BOOL, TOML_OTHER };
 
+/* One key and its value; kind says which of the last fields is set. */
 struct toml_value {
     const char *key; /* "section.name" */
-    unsigned line;
+    unsigned line;   /* in the file, from 1 */
     enum toml_kind kind;
-    const char *text;
-    int64_t number;
-    double real;
+    const char *text; /* TOML_TEXT */
+    int64_t number;   /* TOML_NUMBER; TOML_BOOL: 0 or 1 */
+    double real;      /* TOML_REAL */
 };
 
-/* Called for each value; not CONF_OK ends the reading. */
+/* Called for each value; any status but CONF_OK stops parsing. */
 typedef enum conf_status (*toml_fn)(
     void *ctx, const struct toml_value *v, struct err *e);
+/* Parse a file and call fn for each of its values.  Returns the status that
+ * fn stopped with, or CONF_BAD_FILE or CONF_BAD_SYNTAX. */
 enum conf_status toml_each(
     const char *path, toml_fn fn, void *ctx, struct err *e);
 
--- a/coord.c
+++ b/coord.c
@@ -769,7 +769,7 @@
 {
     uint64_t there =
         (uint64_t)t->spec.est_ms * 1000 / num_max(a->room.pace_permille, 1);
-    uint64_t left = num_minus(there, now - t->sent_ms);
+    uint64_t left = num_sub_sat(there, now - t->sent_ms);
     uint64_t again = (uint64_t)t->spec.est_ms * 1000 / num_max(speed, 1);
 
     return left * 100 > (again + MOVE_COST_MS) * MOVE_GAIN_PERCENT;
--- a/daemon.h
+++ b/daemon.h
@@ -60,13 +60,13 @@
 
 /* api.c: the callers' and operators' HTTP interface */
 void api_handle(void *ctx, struct web_req *r);
-void api_gone(void *ctx, struct web_req *r);
+void api_caller_left(void *ctx, struct web_req *r);
 /* Give an answer to the caller that waits for it. */
 void api_answer(struct daemon *d, uint64_t request, const dw_answer *a);
 
 /* ops.c: operators' changes */
 void ops_handle(struct daemon *d, struct web_req *r);
-void ops_gone(struct daemon *d, struct web_req *r);
+void ops_caller_left(struct daemon *d, struct web_req *r);
 void ops_tick(struct daemon *d, uint64_t now);
 /* True if the path is the operators'. */
 bool ops_is_path(const char *path);
--- a/dunlinweird.c
+++ b/dunlinweird.c
@@ -117,7 +117,7 @@
     uint64_t last = d->node.host.announced_ms;
 
     if (last != 0 && d->node.host.serving &&
-        now - last > d->conf.announce_ms) {
+        now - last > d->conf.announce_timeout_ms) {
         log_event(LOG_LEVEL_WARN, "backend_silent", "ms=%" PRIu64, now - last);
         node_backend(&d->node, now, false, 0, &d->acts);
     }
@@ -220,20 +220,20 @@
 open_sides(struct daemon *d, struct err *e)
 {
     const struct view_member *me = &d->conf.node.me;
-    struct web_cfg web = {me->addr, me->http, d->conf.callers_max,
-        d->conf.body_max, d->conf.idle_s};
-    struct back_cfg back = {d->conf.lease_ms, 2000};
+    struct web_cfg web = {me->addr, me->http, d->conf.caller_connections_max,
+        d->conf.body_max_bytes, d->conf.caller_idle_s};
+    struct back_cfg back = {d->conf.task_lease_ms, 2000};
 
     if (link_open(&d->link, d->loop, me->id, me->addr, me->port, &link_events,
             d, e) != LINK_OK) {
         return -1;
     }
-    if (web_open(&d->web, d->loop, &web, api_handle, api_gone, d, e) !=
+    if (web_open(&d->web, d->loop, &web, api_handle, api_caller_left, d, e) !=
         WEB_OK) {
         return -1;
     }
     d->http = httpc_new(d->loop, STORE_CONNECTIONS);
-    d->back_http = httpc_new(d->loop, d->conf.connections);
+    d->back_http = httpc_new(d->loop, d->conf.backend_connections_max);
     d->store = store_etcd(
         d->loop, d->http, d->conf.store_url, d->conf.store_timeout_ms);
     d->back = back_new(d->loop, d->back_http, &back, &back_events, d);
@@ -280,7 +280,7 @@
     d->next_request = proc_random_id() >> 1;
     acts_init(&d->acts);
     d->answer = api_answer;
-    d->trail = trail_new(d->conf.trail_max);
+    d->trail = trail_new(d->conf.trail_events_max);
     node_init(&d->node, &d->conf.node);
     if (open_sides(d, &e) == 0) {
         log_event(LOG_LEVEL_INFO, "started",
@@ -358,7 +358,7 @@
         proc_raise_limits();
         curl_global_init(CURL_GLOBAL_DEFAULT);
         d->conf_path = path;
-        code = d->conf.platform.store[0] == '\0' ? run(d) : run_served(d);
+        code = d->conf.platform.store_url[0] == '\0' ? run(d) : run_served(d);
         curl_global_cleanup();
         log_close();
     }
--- a/entrycall.c
+++ b/entrycall.c
@@ -42,7 +42,7 @@
         "job=%016" PRIx64 " why=%s tasks=%u done=%u begun=%d ms=%" PRIu64
         " objective_ms=%" PRIu64 " left_ms=%" PRIu64 " speed=%u",
         j->id, why, j->count, j->done, j->begun, now - j->come_ms,
-        j->objective_ms - j->come_ms, num_minus(j->deadline_ms, now),
+        j->objective_ms - j->come_ms, num_sub_sat(j->deadline_ms, now),
         e->coord.fleet.speed);
 }
 
@@ -392,7 +392,7 @@
 {
     struct str job = job_of(path_of(c));
 
-    if (e->s->conf->platform.resend_ms < GIVE_RESEND_MS ||
+    if (e->s->conf->platform.caller_resend_ms < GIVE_RESEND_MS ||
         closed_for(e, now) != NULL ||
         !rl_give(&e->relay, now, c, host_of(c), path_of(c), body_of(c),
             left_ms(c->req))) {
--- a/entryd.c
+++ b/entryd.c
@@ -91,9 +91,10 @@
     ec_open(e);
     co_init(&e->coord, &ec_co_ops, e, s->seed, s->conf->node.me.domain,
         s->conf->node.me.addr, s->conf->node.me.port);
-    if (open_web(e, &e->callers, p->callers, ec_request, ec_gone, err) != 0 ||
-        open_web(e, &e->ready, p->readiness, on_ready, on_ready_gone, err) !=
-            0) {
+    if (open_web(e, &e->callers, p->callers_listen, ec_request, ec_gone,
+            err) != 0 ||
+        open_web(e, &e->ready, p->readiness_listen, on_ready, on_ready_gone,
+            err) != 0) {
         return -1;
     }
     ev_check_init(&e->pass_check, on_pass);
--- a/err.c
+++ b/err.c
@@ -20,17 +20,17 @@
 void
 err_prefix(struct err *e, const char *fmt, ...)
 {
-    char below[ERR_MSG_MAX];
+    char previous[ERR_MSG_MAX];
     va_list ap;
     size_t n;
 
     if (e == NULL) {
         return;
     }
-    memcpy(below, e->msg, sizeof(below));
+    memcpy(previous, e->msg, sizeof(previous));
     va_start(ap, fmt);
     vsnprintf(e->msg, sizeof(e->msg), fmt, ap);
     va_end(ap);
     n = strlen(e->msg);
-    snprintf(e->msg + n, sizeof(e->msg) - n, ": %s", below);
+    snprintf(e->msg + n, sizeof(e->msg) - n, ": %s", previous);
 }
--- a/err.h
+++ b/err.h
@@ -1,8 +1,9 @@
 /*
- * err - a last message beside a status
+ * err - an error message that goes with a status
  *
- * Each layer returns an enum of its own and fills a struct err with words for
- * a person: what failed, where, and what would have been right.
+ * A function that fails returns a status of its module's enum and sets a
+ * struct err to a message for the user: what failed, where, and which value is
+ * allowed.
  */
 #ifndef ERR_H
 #define ERR_H
@@ -11,16 +12,16 @@
 extern "C" {
 #endif
 
-#define ERR_MSG_MAX 512
+#define ERR_MSG_MAX 512 /* bytes with the NUL; longer messages are cut */
 
 struct err {
     char msg[ERR_MSG_MAX];
 };
 
-/* Set the message; e may be NULL when nobody wants it. */
+/* Set the message, formatted as by printf(3).  Does nothing if e is NULL. */
 void err_set(struct err *e, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
-/* Put words before the message a layer below has left. */
+/* Prepend text and ": " to the message that a called function set. */
 void err_prefix(struct err *e, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 
--- a/explain.c
+++ b/explain.c
@@ -7,25 +7,26 @@
 
 #define TIME_FIELD "time="
 
+/* A log line of the job. */
 struct line {
     char *text;
-    const char *time; /* in text; "" if it has none */
-    size_t number;
+    const char *time; /* value of time= in text; "" if missing */
+    size_t number;    /* position among the input's lines of the job */
 };
 
 static int
-by_time(const void *a, const void *b)
+compare_times(const void *a, const void *b)
 {
     const struct line *x = a;
     const struct line *y = b;
     int order = strncmp(x->time, y->time, strcspn(x->time, " "));
 
-    /* Lines of one moment stay as they came. */
+    /* Lines with equal times keep their order. */
     return order != 0 ? order : (x->number > y->number ? 1 : -1);
 }
 
 static const char *
-time_of(const char *text)
+find_time(const char *text)
 {
     const char *at = strstr(text, TIME_FIELD);
 
@@ -46,13 +47,13 @@
         if (str_has_field(text, field.p)) {
             lines = dw_grow(lines, (count + 1) * sizeof(*lines));
             lines[count].text = str_dup(str_of(text));
-            lines[count].time = time_of(lines[count].text);
+            lines[count].time = find_time(lines[count].text);
             lines[count].number = count;
             count++;
         }
     }
     if (count > 0) {
-        qsort(lines, count, sizeof(*lines), by_time);
+        qsort(lines, count, sizeof(*lines), compare_times);
     }
     for (size_t i = 0; i < count; i++) {
         fputs(lines[i].text, out);
--- a/explain.h
+++ b/explain.h
@@ -1,5 +1,5 @@
 /*
- * explain - the lines of one job, out of the logs of many processes
+ * explain - collects one job's log lines from the logs of many processes
  */
 #ifndef EXPLAIN_H
 #define EXPLAIN_H
@@ -7,8 +7,12 @@
 #include <stddef.h>
 #include <stdio.h>
 
-/* Write the lines of in that have job=ID, ordered by their time; their
- * number.  Times are of each machine's own clock. */
+/*
+ * Copy those lines of in that have the field job=ID to out, sorted by their
+ * time= field, and return their number.  The times are by the clocks of the
+ * machines that wrote the lines, so the order is only as exact as these are
+ * synchronized.
+ */
 size_t explain_lines(FILE *in, const char *id, FILE *out);
 
 #endif
--- a/front.c
+++ b/front.c
@@ -134,7 +134,7 @@
     if (s->age_ms > f->cfg.max_age_ms && !s->lookup) {
         set_lookup(s, JOB_TOO_OLD);
     }
-    s->deadline_ms = num_left(r->deadline_ms, now);
+    s->deadline_ms = num_remaining_ms(r->deadline_ms, now);
     s->width = r->has_spend ? r->spend.running : 0;
     copy = msg_clone(r->msg);
     if (copy != NULL) {
--- a/host.c
+++ b/host.c
@@ -88,7 +88,7 @@
 {
     struct host_rec *rec;
 
-    HASH_FIND(hh, h->recs, sk->p, sk->n, rec);
+    HASH_FIND(hh, h->recs, sk->p, sk->len, rec);
     return rec;
 }
 
@@ -109,7 +109,7 @@
         HASH_DEL(h->recs, rec);
     }
     rec->last_ms = now;
-    HASH_ADD_KEYPTR(hh, h->recs, rec->sk.p, rec->sk.n, rec);
+    HASH_ADD_KEYPTR(hh, h->recs, rec->sk.p, rec->sk.len, rec);
     return rec;
 }
 
--- a/job.c
+++ b/job.c
@@ -106,7 +106,7 @@
     if (!sk_make(&sk, customer, key)) {
         return NULL;
     }
-    HASH_FIND(hh, j->jobs, sk.p, sk.n, job);
+    HASH_FIND(hh, j->jobs, sk.p, sk.len, job);
     return job;
 }
 
@@ -125,7 +125,7 @@
         job->tasks[i].task.index = i;
         job->tasks[i].outcome.index = i;
     }
-    HASH_ADD_KEYPTR(hh, j->jobs, job->sk.p, job->sk.n, job);
+    HASH_ADD_KEYPTR(hh, j->jobs, job->sk.p, job->sk.len, job);
     return job;
 }
 
@@ -425,7 +425,7 @@
     o->customer = str_to_bytes(sk_customer(&job->sk));
     o->key = str_to_bytes(sk_key(&job->sk));
     o->count = job->count;
-    o->deadline_ms = num_left(job->deadline_ms, now);
+    o->deadline_ms = num_remaining_ms(job->deadline_ms, now);
     o->items.items_val = dw_zero(n, sizeof(dw_offer_item));
     for (u_int i = 0; i < n; i++) {
         struct job_task *t = &job->tasks[picked[i]];
--- a/jobmove.c
+++ b/jobmove.c
@@ -86,8 +86,8 @@
     o->admit_request = job->admit_request;
     o->age_ms = (uint32_t)(now - job->admitted_ms);
     o->deadline_ms = job->state == DW_A_RUNNING
-                         ? num_left(job->deadline_ms, now)
-                         : num_left(job->lapses_ms, now);
+                         ? num_remaining_ms(job->deadline_ms, now)
+                         : num_remaining_ms(job->lapses_ms, now);
     o->width = job->width;
     o->state = job->state;
     o->refused = job->refused;
--- a/lend.c
+++ b/lend.c
@@ -128,7 +128,7 @@
         o->borrower = l->borrower;
         o->seq = l->seq;
         o->share = l->share;
-        o->left_ms = num_left(l->until_ms, now);
+        o->left_ms = num_remaining_ms(l->until_ms, now);
         o->expired = l->expired;
     }
 }
@@ -217,8 +217,8 @@
     dw_share lent;
 
     sum_loans(h, &lent);
-    rate = num_minus((uint64_t)c->rate * MILLI, lent.rate);
-    cap = num_minus(c->burst, lent.burst) * MILLI;
+    rate = num_sub_sat((uint64_t)c->rate * MILLI, lent.rate);
+    cap = num_sub_sat(c->burst, lent.burst) * MILLI;
     h->level = num_min(cap, h->level + rate * (now - h->filled_ms) / MILLI);
     h->filled_ms = now;
 }
@@ -291,12 +291,12 @@
 
     sum_loans(h, &lent);
     g->rate =
-        num_min(want->rate, num_minus((uint64_t)c->rate * MILLI, lent.rate));
-    g->burst = num_min(want->burst, num_minus(c->burst, lent.burst));
+        num_min(want->rate, num_sub_sat((uint64_t)c->rate * MILLI, lent.rate));
+    g->burst = num_min(want->burst, num_sub_sat(c->burst, lent.burst));
     g->level = num_min(want->level, h->level);
-    g->running = num_min(want->running, num_minus(c->running, lent.running));
+    g->running = num_min(want->running, num_sub_sat(c->running, lent.running));
     g->pending = num_min(want->pending,
-        num_minus((uint64_t)c->running + c->queued, lent.pending));
+        num_sub_sat((uint64_t)c->running + c->queued, lent.pending));
     h->level -= g->level;
 }
 
@@ -381,7 +381,7 @@
     l->share = held;
     if (!rebuilding) {
         h->level = num_min(h->level + b->given_level,
-            num_minus(c->burst, lent.burst) * MILLI);
+            num_sub_sat(c->burst, lent.burst) * MILLI);
         grant(h, c, &b->want, &g);
     }
     add_share(&l->share, &g);
@@ -501,11 +501,11 @@
     dw_share t;
 
     target(a, a->scarce ? 1 : 2, &t);
-    w->rate = num_minus(t.rate, a->held.rate);
-    w->burst = num_minus(t.burst, a->held.burst);
-    w->level = num_minus(t.level, a->held.level);
-    w->running = num_minus(t.running, a->held.running);
-    w->pending = num_minus(t.pending, a->held.pending);
+    w->rate = num_sub_sat(t.rate, a->held.rate);
+    w->burst = num_sub_sat(t.burst, a->held.burst);
+    w->level = num_sub_sat(t.level, a->held.level);
+    w->running = num_sub_sat(t.running, a->held.running);
+    w->pending = num_sub_sat(t.pending, a->held.pending);
 }
 
 /* Give back what is held far above need; slots in use are kept. */
@@ -565,7 +565,7 @@
 {
     return now < a->until_ms && a->held.level / MILLI >= tasks &&
            a->held.running > a->running_used &&
-           num_minus(a->held.pending, a->pending_used) >= tasks;
+           num_sub_sat(a->held.pending, a->pending_used) >= tasks;
 }
 
 /* When the missing starts will have come, at the rate held. */
@@ -573,7 +573,7 @@
 come_back_ms(const struct lend_account *a, uint32_t tasks)
 {
     uint64_t rate = num_max(a->held.rate, MILLI);
-    uint64_t lack = num_minus((uint64_t)tasks * MILLI, a->held.level);
+    uint64_t lack = num_sub_sat((uint64_t)tasks * MILLI, a->held.level);
     uint64_t ms = lack * MILLI / rate;
 
     return (uint32_t)(ms < 100 ? 100 : ms > 60000 ? 60000 : ms);
@@ -632,12 +632,12 @@
         return;
     }
     fill(a, now);
-    a->running_used = num_minus(a->running_used, spend->running);
-    a->pending_used = num_minus(a->pending_used, spend->pending);
+    a->running_used = num_sub_sat(a->running_used, spend->running);
+    a->pending_used = num_sub_sat(a->pending_used, spend->pending);
     if (refund) {
         a->held.level = num_min(a->held.burst * MILLI,
             a->held.level + (uint64_t)spend->starts * MILLI);
-        a->spent = num_minus(a->spent, spend->starts);
+        a->spent = num_sub_sat(a->spent, spend->starts);
     }
 }
 
--- a/ops.c
+++ b/ops.c
@@ -1,8 +1,10 @@
 /*
- * Operators' changes.  Each is one transaction: the key as the operator saw
- * it is compared, the new value and its audit entry are written together.  A
- * lost answer is settled by reading the audit entry back, as its id is the
- * change's own.
+ * The operators' HTTP interface: contracts, failure domains, status, audit.
+ *
+ * Each change is one transaction: it compares the key's revision with the one
+ * that the operator read, and writes the new value and an audit entry
+ * together.  If the store's answer is lost, the audit entries are read back:
+ * the change was written if there is one with its id.
  */
 #include <inttypes.h>
 #include <jansson.h>
@@ -13,41 +15,43 @@
 #include "proc.h"
 #include "log.h"
 
-#define CONTRACTS "/v1/contracts"
-#define DOMAINS "/v1/domains"
+#define CONTRACTS_PATH "/v1/contracts"
+#define DOMAINS_PATH "/v1/domains"
 #define TEXT_MAX 128
-#define RETRY_MS 200
-/* Then the operator is told that the outcome is not known. */
-#define SETTLE_MS 8000
-/* Waiting for all live processes to hold the change. */
-#define FORCE_MS 10000
-#define ASK_MS 100
-/* Every so many changes the oldest audit entries are looked for, and at most
- * so many deleted at once. */
-#define PRUNE_EACH 16
-#define PRUNE_MAX 64
+#define VERIFY_RETRY_MS 200
+/* After this the operator gets the reply that the outcome is unknown. */
+#define VERIFY_TIMEOUT_MS 8000
+/* Longest wait until all live processes hold the change. */
+#define PROPAGATION_TIMEOUT_MS 10000
+#define REV_REQUEST_INTERVAL_MS 100
+/* After every PRUNE_INTERVAL_CHANGES changes, up to PRUNE_BATCH_MAX of the
+ * oldest audit entries beyond the configured number are deleted. */
+#define PRUNE_INTERVAL_CHANGES 16
+#define PRUNE_BATCH_MAX 64
 
 enum op_state {
-    OP_WRITING,  /* the transaction is out */
-    OP_RETRYING, /* its answer was lost */
-    OP_READING,  /* reading the audit entries, to settle it */
-    OP_SPREADING /* written; waiting until it holds */
+    OP_WRITING,    /* the transaction was sent */
+    OP_RETRYING,   /* its answer was lost; the audit read is to be sent */
+    OP_READING,    /* reading the audit entries to find its outcome */
+    OP_PROPAGATING /* written; waiting until enough processes hold it */
 };
 
-/* One change on its way. */
+/* An operator's request in progress: a change, or a query of the store. */
 struct op {
     struct daemon *d;
-    struct web_req *r; /* NULL once the operator has gone */
+    struct web_req *r; /* NULL once the operator has disconnected */
     enum op_state state;
-    bool out;        /* a store call will come back to us */
-    bool conflicted; /* the store has refused it: ours before, or another's */
-    bool wait;
+    bool store_pending; /* a store call will call back with this op */
+    /* The store reported a conflict: with this change's own earlier write
+     * whose answer was lost, or with another change. */
+    bool conflicted;
+    bool wait_in_force; /* reply once all live processes hold the change */
     struct txn *txn;
     char id[32];
-    char target[TEXT_MAX];
-    uint64_t rev;
-    uint64_t began_ms;
-    uint64_t next_ms;
+    char target[TEXT_MAX];   /* the changed key without VIEW_PREFIX */
+    uint64_t written_rev;    /* store revision of the change */
+    uint64_t phase_start_ms; /* of writing, later of propagating */
+    uint64_t next_ms;        /* next action, if no store call is pending */
     struct op *prev;
     struct op *next;
 };
@@ -98,7 +102,7 @@
 }
 
 static void
-end_problem(
+finish_with_problem(
     struct op *op, unsigned status, const char *kind, const char *detail)
 {
     struct web_req *r = op->r;
@@ -113,26 +117,28 @@
     free_op(op);
 }
 
-/* --- writing and settling --- */
+/* --- writing and verifying --- */
 
-static void write_op(struct op *op);
+static void write_change(struct op *op);
 
 static void
-not_settled(struct op *op)
+finish_unverified(struct op *op)
 {
     struct buf b = {0};
 
     buf_addf(&b,
-        "the store did not answer in time; whether change %s was "
-        "written is not known: look for it with `dunlinweir audit`",
+        "the store did not answer in time; it is not known whether change "
+        "%s was written: look for it with `dunlinweir audit`",
         op->id);
-    end_problem(op, 504, "not_settled", b.p);
+    finish_with_problem(op, 504, "not_settled", b.p);
     buf_free(&b);
 }
 
-/* The newest audit entry about the target, or our own if it is there. */
+/* Return the newest audit entry for the op's target, or NULL.  If the op's own
+ * entry is present, set *own, and *rev to its revision. */
 static json_t *
-find_entry(const dw_state *all, const struct op *op, bool *own, uint64_t *rev)
+find_audit_entry(
+    const dw_state *all, const struct op *op, bool *own, uint64_t *rev)
 {
     json_t *newest = NULL;
     uint64_t newest_mod = 0;
@@ -166,94 +172,96 @@
     struct buf b = {0};
 
     buf_addf(&b,
-        "%s was changed by somebody else in between%s%s; read it "
-        "again and repeat the change if it is still wanted",
+        "%s was changed by another operator in the meantime%s%s; read it "
+        "again and repeat the change if it is still needed",
         op->target, text != NULL ? ": " : "", text != NULL ? text : "");
-    end_problem(op, 409, "conflict", b.p);
+    finish_with_problem(op, 409, "conflict", b.p);
     buf_free(&b);
     free(text);
 }
 
 static void
-written(struct op *op, uint64_t rev)
+start_propagation(struct op *op, uint64_t rev)
 {
-    op->rev = rev;
-    op->state = OP_SPREADING;
-    op->began_ms = proc_now();
+    op->written_rev = rev;
+    op->state = OP_PROPAGATING;
+    op->phase_start_ms = proc_now();
     op->next_ms = 0;
-    node_store_hint(&op->d->node, op->began_ms, &op->d->acts);
+    node_store_hint(&op->d->node, op->phase_start_ms, &op->d->acts);
     carry_out(op->d);
 }
 
 static void
-on_settle_read(void *ctx, enum store_status st, const dw_state *all)
+on_verify_read(void *ctx, enum store_status st, const dw_state *all)
 {
     struct op *op = ctx;
     bool own = false;
     uint64_t rev = 0;
     json_t *other;
 
-    op->out = false;
+    op->store_pending = false;
     if (st != STORE_OK) {
         op->state = OP_RETRYING;
-        op->next_ms = proc_now() + RETRY_MS;
+        op->next_ms = proc_now() + VERIFY_RETRY_MS;
         return;
     }
-    other = find_entry(all, op, &own, &rev);
+    other = find_audit_entry(all, op, &own, &rev);
     if (own) {
-        written(op, rev);
+        start_propagation(op, rev);
     }
     else if (op->conflicted) {
         reply_conflict(op, other);
     }
     else {
-        /* Not there; if it still comes, the same again cannot take effect
-         * twice, as its audit entry must not exist. */
-        write_op(op);
+        /* Not written yet.  If the first attempt is still in transit, only
+         * one of the two can take effect: the transaction requires that its
+         * audit entry does not exist. */
+        write_change(op);
     }
     json_decref(other);
 }
 
 static void
-settle(struct op *op)
+verify_change(struct op *op)
 {
     op->state = OP_READING;
-    op->out = true;
-    op->d->store->ops->read(op->d->store, VIEW_AUDIT, on_settle_read, op);
+    op->store_pending = true;
+    op->d->store->ops->read(op->d->store, VIEW_AUDIT, on_verify_read, op);
 }
 
 static void
-on_written(void *ctx, enum store_status st, uint64_t rev)
+on_txn_done(void *ctx, enum store_status st, uint64_t rev)
 {
     struct op *op = ctx;
 
-    op->out = false;
+    op->store_pending = false;
     switch (st) {
     case STORE_OK:
-        written(op, rev);
+        start_propagation(op, rev);
         break;
     case STORE_CONFLICT:
-        /* Ours, if an answer was lost before, or another's. */
+        /* With its own earlier write if an answer was lost, or with another
+         * change. */
         op->conflicted = true;
-        settle(op);
+        verify_change(op);
         break;
     case STORE_DOWN:
     case STORE_UNKNOWN:
         op->state = OP_RETRYING;
-        op->next_ms = proc_now() + RETRY_MS;
+        op->next_ms = proc_now() + VERIFY_RETRY_MS;
         break;
     }
 }
 
 static void
-write_op(struct op *op)
+write_change(struct op *op)
 {
     op->state = OP_WRITING;
-    op->out = true;
-    op->d->store->ops->txn(op->d->store, op->txn, on_written, op);
+    op->store_pending = true;
+    op->d->store->ops->txn(op->d->store, op->txn, on_txn_done, op);
 }
 
-/* --- pruning the audit trail --- */
+/* --- pruning audit entries --- */
 
 static int
 newest_first(const void *a, const void *b)
@@ -278,13 +286,13 @@
     struct daemon *d = ctx;
     struct txn *t;
 
-    if (st != STORE_OK || all->kvs.kvs_len <= d->conf.audit_kept) {
+    if (st != STORE_OK || all->kvs.kvs_len <= d->conf.audit_entries_max) {
         return;
     }
     qsort(all->kvs.kvs_val, all->kvs.kvs_len, sizeof(dw_kv), newest_first);
     t = txn_new();
-    for (u_int i = d->conf.audit_kept;
-         i < all->kvs.kvs_len && t->put_count < PRUNE_MAX; i++) {
+    for (u_int i = d->conf.audit_entries_max;
+         i < all->kvs.kvs_len && t->put_count < PRUNE_BATCH_MAX; i++) {
         char *key = str_dup(str_bytes(&all->kvs.kvs_val[i].key));
 
         txn_put(t, key, NULL);
@@ -294,19 +302,21 @@
     txn_free(t);
 }
 
-/* Now and then, as each look reads the whole trail. */
+/* Not after each change, as pruning reads all audit entries. */
 static void
-maybe_prune(struct daemon *d)
+prune_if_due(struct daemon *d)
 {
-    if (++d->changes % PRUNE_EACH == 0) {
+    if (++d->changes % PRUNE_INTERVAL_CHANGES == 0) {
         d->store->ops->read(d->store, VIEW_AUDIT, on_prune_read, d);
     }
 }
 
-/* --- waiting until it holds --- */
+/* --- propagation --- */
 
+/* The names of live processes that do not hold the change yet; each is sent a
+ * request for its revision. */
 static json_t *
-laggards(struct op *op, uint64_t now)
+list_outdated(struct op *op, uint64_t now)
 {
     struct node *n = &op->d->node;
     const struct view_member *m;
@@ -314,7 +324,7 @@
 
     for (m = n->view.members; m != NULL; m = m->hh.next) {
         if (mbr_state(&n->mbr, m->id) != DW_M_DEAD &&
-            sync_rev_of(&n->sync, m->id) < op->rev) {
+            sync_rev_of(&n->sync, m->id) < op->written_rev) {
             json_array_append_new(list, json_string(m->name));
             sync_ask(&n->sync, now, m->id, &op->d->acts);
         }
@@ -323,21 +333,22 @@
 }
 
 static void
-end_accepted(struct op *op, json_t *behind, uint64_t now)
+finish_accepted(struct op *op, json_t *outdated, uint64_t now)
 {
     struct web_req *r = op->r;
-    bool in_force = behind != NULL && json_array_size(behind) == 0;
+    bool in_force = outdated != NULL && json_array_size(outdated) == 0;
     json_t *o = json_pack("{s:b, s:s, s:I, s:I}", "accepted", 1, "change",
-        op->id, "revision", (json_int_t)op->rev, "ms",
-        (json_int_t)(now - op->began_ms));
+        op->id, "revision", (json_int_t)op->written_rev, "ms",
+        (json_int_t)(now - op->phase_start_ms));
 
-    if (op->wait) {
+    if (op->wait_in_force) {
         json_object_set_new(o, "in_force", json_boolean(in_force));
-        json_object_set(o, "behind", behind);
+        json_object_set(o, "behind", outdated);
     }
     log_event(LOG_LEVEL_INFO, "change_accepted",
-        "id=%s target=%s revision=%" PRIu64, op->id, op->target, op->rev);
-    maybe_prune(op->d);
+        "id=%s target=%s revision=%" PRIu64, op->id, op->target,
+        op->written_rev);
+    prune_if_due(op->d);
     if (r != NULL) {
         web_set_ctx(r, NULL);
         op->r = NULL;
@@ -350,51 +361,51 @@
 }
 
 /*
- * A change counts as accepted once readers in a majority of failure domains
- * hold it: processes that work on through an outage of the store hear one
- * of these, so none of them can miss it.
+ * A change is accepted once readers in a majority of failure domains hold it.
+ * A process that continues during a store outage gets its state from at least
+ * one of these domains, so it cannot miss an accepted change.
  */
 static void
-tend_spreading(struct op *op, uint64_t now)
+tick_propagation(struct op *op, uint64_t now)
 {
-    bool late = now - op->began_ms >= FORCE_MS;
-    json_t *behind;
+    bool late = now - op->phase_start_ms >= PROPAGATION_TIMEOUT_MS;
+    json_t *outdated;
 
-    if (sync_majority_rev(&op->d->node.sync) < op->rev) {
+    if (sync_majority_rev(&op->d->node.sync) < op->written_rev) {
         if (late) {
-            end_problem(op, 504, "not_held",
+            finish_with_problem(op, 504, "not_held",
                 "the change is written but no majority of failure domains "
-                "holds it yet; it comes into force as they return");
+                "holds it yet; it comes into force when they reconnect");
         }
         return;
     }
-    if (!op->wait) {
-        end_accepted(op, NULL, now);
+    if (!op->wait_in_force) {
+        finish_accepted(op, NULL, now);
         return;
     }
-    behind = laggards(op, now);
-    if (json_array_size(behind) == 0 || late) {
-        end_accepted(op, behind, now);
+    outdated = list_outdated(op, now);
+    if (json_array_size(outdated) == 0 || late) {
+        finish_accepted(op, outdated, now);
     }
-    json_decref(behind);
+    json_decref(outdated);
 }
 
 static void
-tend(struct op *op, uint64_t now)
+tick_op(struct op *op, uint64_t now)
 {
-    if (op->out || now < op->next_ms) {
+    if (op->store_pending || now < op->next_ms) {
         return;
     }
-    if (op->state == OP_SPREADING) {
-        op->next_ms = now + (op->wait ? ASK_MS : 10);
-        tend_spreading(op, now);
+    if (op->state == OP_PROPAGATING) {
+        op->next_ms = now + (op->wait_in_force ? REV_REQUEST_INTERVAL_MS : 10);
+        tick_propagation(op, now);
         return;
     }
-    if (now - op->began_ms >= SETTLE_MS) {
-        not_settled(op);
+    if (now - op->phase_start_ms >= VERIFY_TIMEOUT_MS) {
+        finish_unverified(op);
         return;
     }
-    settle(op);
+    verify_change(op);
 }
 
 void
@@ -405,28 +416,28 @@
     while (op != NULL) {
         struct op *next = op->next;
 
-        tend(op, now);
+        tick_op(op, now);
         op = next;
     }
 }
 
 void
-ops_gone(struct daemon *d, struct web_req *r)
+ops_caller_left(struct daemon *d, struct web_req *r)
 {
     struct op *op;
 
     for (op = d->ops; op != NULL; op = op->next) {
         if (op->r == r) {
-            /* The change itself goes on: it may be written already. */
+            /* The change continues: it may be written already. */
             op->r = NULL;
         }
     }
 }
 
-/* --- beginning a change --- */
+/* --- starting a change --- */
 
 static const char *
-header_or(const struct web_req *r, const char *name, const char *other)
+header_or_default(const struct web_req *r, const char *name, const char *other)
 {
     const char *v = web_header(r, name);
 
@@ -434,13 +445,14 @@
 }
 
 static char *
-audit_entry(const struct op *op, const struct web_req *r, const char *before,
-    const char *after)
-{
-    json_t *o = json_pack("{s:s, s:s, s:s, s:s, s:s?, s:s?, s:I}", "id",
-        op->id, "who", header_or(r, "Dunlinweir-Who", "unknown"), "why",
-        header_or(r, "Dunlinweir-Why", ""), "target", op->target, "before",
-        before, "after", after, "ms", (json_int_t)proc_wall());
+format_audit_entry(const struct op *op, const struct web_req *r,
+    const char *before, const char *after)
+{
+    json_t *o =
+        json_pack("{s:s, s:s, s:s, s:s, s:s?, s:s?, s:I}", "id", op->id, "who",
+            header_or_default(r, "Dunlinweir-Who", "unknown"), "why",
+            header_or_default(r, "Dunlinweir-Why", ""), "target", op->target,
+            "before", before, "after", after, "ms", (json_int_t)proc_wall());
     char *text;
 
     if (o == NULL) {
@@ -451,9 +463,10 @@
     return text;
 }
 
-/* The revision the operator saw: its own word, or what this entry holds. */
+/* The key's revision that the change is based on: the If-Match header, or else
+ * what this entry holds; 0 if the key does not exist. */
 static uint64_t
-seen_mod(const struct web_req *r, const struct view_kv *kv)
+expected_mod(const struct web_req *r, const struct view_kv *kv)
 {
     const char *h = web_header(r, "If-Match");
 
@@ -464,33 +477,35 @@
 }
 
 static void
-begin(struct daemon *d, struct web_req *r, const char *key, const char *value)
+start_change(
+    struct daemon *d, struct web_req *r, const char *key, const char *value)
 {
     const struct view_kv *kv = view_kv(&d->node.view, key);
     struct op *op = new_op(d, r);
     char audit_key[TEXT_MAX];
     char *entry;
 
-    op->began_ms = proc_now();
-    op->wait = web_query(r, "wait") != NULL;
+    op->phase_start_ms = proc_now();
+    op->wait_in_force = web_query(r, "wait") != NULL;
     snprintf(op->id, sizeof(op->id), "%016" PRIx64,
         mix64(d->node.self ^ proc_wall(), ++d->next_request));
     str_copy(
         op->target, sizeof(op->target), str_of(key + strlen(VIEW_PREFIX)));
     snprintf(audit_key, sizeof(audit_key), VIEW_AUDIT "%s", op->id);
     op->txn = txn_new();
-    txn_compare(op->txn, key, seen_mod(r, kv));
+    txn_compare(op->txn, key, expected_mod(r, kv));
     txn_compare(op->txn, audit_key, 0);
     txn_put(op->txn, key, value);
-    entry = audit_entry(op, r, kv != NULL ? kv->value : NULL, value);
+    entry = format_audit_entry(op, r, kv != NULL ? kv->value : NULL, value);
     txn_put(op->txn, audit_key, entry);
     free(entry);
-    write_op(op);
+    write_change(op);
 }
 
-/* A change needs the store, and this entry must know the present state. */
+/* A change needs the store and a current state of this entry; reply with the
+ * problem if either is missing. */
 static bool
-can_change(struct daemon *d, struct web_req *r)
+check_can_change(struct daemon *d, struct web_req *r)
 {
     if (d->node.sync.down || !node_fresh(&d->node, proc_now())) {
         web_problem(r, 503, "store_down",
@@ -504,8 +519,10 @@
 
 /* --- contracts --- */
 
+/* Fill out with each domain's name and its agents' slots; return the number of
+ * domains. */
 static size_t
-domain_slots(const struct view *v, struct ct_domain *out, size_t max)
+count_domain_slots(const struct view *v, struct ct_domain *out, size_t max)
 {
     const char *names[SYNC_DOMAINS_MAX];
     size_t total = view_domains(v, names, SYNC_DOMAINS_MAX);
@@ -526,8 +543,9 @@
     return n;
 }
 
+/* Guaranteed slots of all customers, if c replaces its customer's contract. */
 static uint64_t
-guaranteed_with(const struct view *v, const struct contract *c)
+total_guaranteed(const struct view *v, const struct contract *c)
 {
     const struct view_contract *vc;
     uint64_t sum = c->guaranteed;
@@ -540,15 +558,17 @@
     return sum;
 }
 
+/* Whether all guarantees can still be kept with c, or the operator overrides
+ * the check; reply with the problem otherwise. */
 static bool
-keepable(struct daemon *d, struct web_req *r, const struct contract *c)
+check_guarantees(struct daemon *d, struct web_req *r, const struct contract *c)
 {
     struct ct_domain ds[SYNC_DOMAINS_MAX];
-    size_t n = domain_slots(&d->node.view, ds, SYNC_DOMAINS_MAX);
+    size_t n = count_domain_slots(&d->node.view, ds, SYNC_DOMAINS_MAX);
     struct err e = {""};
 
     if (c->guaranteed == 0 || web_query(r, "override") != NULL ||
-        ct_keepable(guaranteed_with(&d->node.view, c), ds, n, &e) == CT_OK) {
+        ct_keepable(total_guaranteed(&d->node.view, c), ds, n, &e) == CT_OK) {
         return true;
     }
     web_problem(r, 409, "not_keepable", e.msg, 0);
@@ -572,12 +592,12 @@
             "contract field 'customer' differs from the name in the path", 0);
         return;
     }
-    if (!can_change(d, r) || !keepable(d, r, &c)) {
+    if (!check_can_change(d, r) || !check_guarantees(d, r, &c)) {
         return;
     }
     buf_addf(&key, VIEW_CONTRACT "%s", name);
     ct_format(&c, &value);
-    begin(d, r, key.p, value.p);
+    start_change(d, r, key.p, value.p);
     buf_free(&key);
     buf_free(&value);
 }
@@ -608,7 +628,7 @@
 }
 
 static void
-one_contract(struct daemon *d, struct web_req *r, const char *name)
+handle_contract(struct daemon *d, struct web_req *r, const char *name)
 {
     const struct view_contract *vc =
         view_contract(&d->node.view, str_of(name));
@@ -630,9 +650,9 @@
         web_problem(r, 405, "bad_method", "want GET, PUT or DELETE", 0);
         return;
     }
-    if (can_change(d, r)) {
+    if (check_can_change(d, r)) {
         buf_addf(&key, VIEW_CONTRACT "%s", name);
-        begin(d, r, key.p, NULL);
+        start_change(d, r, key.p, NULL);
         buf_free(&key);
     }
 }
@@ -670,7 +690,7 @@
 }
 
 static bool
-domain_known(const struct view *v, const char *name)
+domain_exists(const struct view *v, const char *name)
 {
     const char *names[SYNC_DOMAINS_MAX];
     size_t n = view_domains(v, names, SYNC_DOMAINS_MAX);
@@ -697,9 +717,9 @@
             "{\"in\":false}",
             0);
     }
-    else if (can_change(d, r)) {
+    else if (check_can_change(d, r)) {
         buf_addf(&key, VIEW_DOMAIN "%s", name);
-        begin(d, r, key.p,
+        start_change(d, r, key.p,
             json_is_true(in) ? "{\"in\":true}" : "{\"in\":false}");
         buf_free(&key);
     }
@@ -707,9 +727,9 @@
 }
 
 static void
-one_domain(struct daemon *d, struct web_req *r, const char *name)
+handle_domain(struct daemon *d, struct web_req *r, const char *name)
 {
-    if (!domain_known(&d->node.view, name)) {
+    if (!domain_exists(&d->node.view, name)) {
         web_problem(r, 404, "no_such_domain", name, 0);
     }
     else if (strcmp(web_method(r), "PUT") == 0) {
@@ -725,7 +745,7 @@
 
 /* --- status and audit --- */
 
-static const char *const alive_names[] = {
+static const char *const member_state_names[] = {
     [DW_M_ALIVE] = "alive",
     [DW_M_SUSPECT] = "suspect",
     [DW_M_DEAD] = "dead",
@@ -747,7 +767,7 @@
         "id", id, "name", m->name, "role",
         m->role == VIEW_AGENT ? "agent" : "entry", "domain", m->domain,
         "address", m->addr, "port", (int)m->port, "http", (int)m->http,
-        "state", alive_names[mbr_state(&d->node.mbr, m->id)], "leaving",
+        "state", member_state_names[mbr_state(&d->node.mbr, m->id)], "leaving",
         m->leaving, "partitions", (int)parts, "slots", (int)m->slots, "busy",
         (int)load->busy, "queued", (int)load->queued);
 }
@@ -772,11 +792,11 @@
             (json_int_t)n->view.map_epoch, "members", members));
 }
 
-/* A query on its way to the store. */
+/* A pending read of the audit entries. */
 struct audit_query {
     struct daemon *d;
-    struct op *op; /* stands for the request, so that a caller may go */
-    size_t limit;
+    struct op *op; /* holds the request, so that its caller may disconnect */
+    size_t limit;  /* most entries in the reply */
 };
 
 static void
@@ -788,7 +808,7 @@
 
     if (st != STORE_OK) {
         json_decref(list);
-        end_problem(
+        finish_with_problem(
             op, 503, "store_down", "the platform's store cannot be reached");
         free(q);
         return;
@@ -823,7 +843,7 @@
     struct op *op = new_op(d, r);
     const char *limit = web_query(r, "limit");
 
-    op->out = true;
+    op->store_pending = true;
     str_copy(op->target, sizeof(op->target), STR("audit"));
     q->d = d;
     q->op = op;
@@ -849,16 +869,16 @@
 
 /* --- routing --- */
 
-typedef void (*list_fn)(struct daemon *d, struct web_req *r);
-typedef void (*one_fn)(struct daemon *d, struct web_req *r, const char *name);
+typedef void (*collection_fn)(struct daemon *d, struct web_req *r);
+typedef void (*item_fn)(struct daemon *d, struct web_req *r, const char *name);
 
 static const struct {
     const char *path;
-    list_fn list;
-    one_fn one;
+    collection_fn list;
+    item_fn item;
 } routes[] = {
-    {CONTRACTS, list_contracts, one_contract},
-    {DOMAINS, list_domains, one_domain},
+    {CONTRACTS_PATH, list_contracts, handle_contract},
+    {DOMAINS_PATH, list_domains, handle_domain},
     {"/v1/status", get_status, NULL},
     {"/v1/audit", get_audit, NULL},
     {"/v1/trail", NULL, get_trail},
@@ -866,8 +886,10 @@
 
 #define ROUTE_COUNT (sizeof(routes) / sizeof(routes[0]))
 
+/* Index of the route of path, or ROUTE_COUNT; *rest is what follows the
+ * route's path. */
 static size_t
-route_of(const char *path, const char **rest)
+find_route(const char *path, const char **rest)
 {
     for (size_t i = 0; i < ROUTE_COUNT; i++) {
         size_t n = strlen(routes[i].path);
@@ -886,7 +908,7 @@
 {
     const char *rest;
 
-    return route_of(path, &rest) < ROUTE_COUNT;
+    return find_route(path, &rest) < ROUTE_COUNT;
 }
 
 static bool
@@ -903,19 +925,19 @@
 ops_handle(struct daemon *d, struct web_req *r)
 {
     const char *rest = "";
-    size_t i = route_of(web_path(r), &rest);
+    size_t i = find_route(web_path(r), &rest);
 
     if (!is_operator(d, r)) {
         web_problem(r, 401, "bad_credentials",
             "want the bearer token of the operators", 0);
     }
-    else if (rest[0] == '/' && routes[i].one != NULL) {
+    else if (rest[0] == '/' && routes[i].item != NULL) {
         if (i < 2 && !ct_name_ok(str_of(rest + 1))) {
             web_problem(
                 r, 400, "bad_name", "want 1 to 63 of a-z 0-9 '-' '_' '.'", 0);
             return;
         }
-        routes[i].one(d, r, rest + 1);
+        routes[i].item(d, r, rest + 1);
     }
     else if (rest[0] == '\0' && routes[i].list != NULL) {
         routes[i].list(d, r);
--- a/proc.h
+++ b/proc.h
@@ -1,8 +1,8 @@
 /*
- * proc - what every process of dunlinweir needs from its system
+ * proc - clocks, random numbers, signals and limits of a process
  *
- * Clocks, random numbers, signals on the loop, limits.  The deciding modules
- * get the time as an argument; only those that carry out ask for it here.
+ * The modules that make decisions get the time as an argument; only those that
+ * do I/O read these clocks.
  */
 #ifndef PROC_H
 #define PROC_H
@@ -10,19 +10,21 @@
 #include <ev.h>
 #include <stdint.h>
 
-/* Present time in ms.  It goes on while a suspended machine sleeps, as leases
- * elsewhere run on meanwhile. */
+/* Monotonic time in ms (CLOCK_BOOTTIME).  It also advances while the machine
+ * is suspended, as leases held elsewhere expire meanwhile. */
 uint64_t proc_now(void);
-/* The same in us, for what the process itself takes. */
+/* The same clock in us, to measure the process's own processing times. */
 uint64_t proc_now_us(void);
-/* Time of day in ms since 1970. */
+/* Wall-clock time in ms since 1970. */
 uint64_t proc_wall(void);
-/* Never 0. */
+/* A random id from getrandom(2); never 0. */
 uint64_t proc_random_id(void);
+/* Call fn on the loop when signum is received; ctx is in the watcher's data.
+ */
 void proc_watch_signal(struct ev_loop *loop, ev_signal *w, int signum,
     void (*fn)(struct ev_loop *, ev_signal *, int), void *ctx);
-/* As many descriptors as may be had; a write to a closed connection is an
- * error, not a signal. */
+/* Raise the limit of open files to its maximum and ignore SIGPIPE, so that
+ * writing to a closed connection returns an error. */
 void proc_raise_limits(void);
 
 #endif
--- a/runner.c
+++ b/runner.c
@@ -107,7 +107,7 @@
 finish(struct runner *r, uint64_t now, struct rn_run *run, dw_end how)
 {
     uint32_t ran_ms =
-        run->started_ms != 0 ? (uint32_t)num_minus(now, run->started_ms) : 0;
+        run->started_ms != 0 ? (uint32_t)num_sub_sat(now, run->started_ms) : 0;
 
     if (how == DW_END_DONE) {
         r->stats.done++;
@@ -803,7 +803,7 @@
     room->serving = rn_serving(r);
     room->draining = r->draining;
     room->left_ms =
-        r->leaves_ms != 0 ? num_left(r->leaves_ms, now) : UINT32_MAX;
+        r->leaves_ms != 0 ? num_remaining_ms(r->leaves_ms, now) : UINT32_MAX;
     room->millicores = r->millicores;
     room->memory_mb = r->memory_mb;
     room->gpus = r->gpus;
--- a/serve.c
+++ b/serve.c
@@ -256,7 +256,8 @@
 static void
 check_leaving(struct serve *s, uint64_t now)
 {
-    uint64_t longest = num_minus(s->conf->platform.grace_ms, LEAVE_MARGIN_MS);
+    uint64_t longest =
+        num_sub_sat(s->conf->platform.grace_ms, LEAVE_MARGIN_MS);
     bool late = now - s->leave_ms >= longest;
 
     if (s->leaving && (late || s->role->done(s, now))) {
@@ -471,10 +472,10 @@
     struct conf_endpoint at;
     struct web_cfg cfg = {at.addr, 0, 16, 4096, 10};
 
-    if (s->conf->platform.metrics[0] == '\0') {
+    if (s->conf->platform.metrics_listen[0] == '\0') {
         return 0;
     }
-    conf_endpoint(&at, s->conf->platform.metrics);
+    conf_endpoint(&at, s->conf->platform.metrics_listen);
     cfg.port = at.port;
     return web_open(&s->metrics_web, s->loop, &cfg, on_metrics, metrics_gone,
                s, e) == WEB_OK
@@ -494,8 +495,8 @@
         return -1;
     }
     s->http = httpc_new(s->loop, STORE_CONNECTIONS);
-    s->kv =
-        kv_new(s->loop, s->http, s->conf->platform.store, STORE_TIMEOUT_MS);
+    s->kv = kv_new(
+        s->loop, s->http, s->conf->platform.store_url, STORE_TIMEOUT_MS);
     if (open_metrics(s, e) != 0) {
         return -1;
     }
--- a/sim.c
+++ b/sim.c
@@ -342,7 +342,7 @@
 static uint64_t
 start_delay_us(struct sim *s)
 {
-    uint64_t span = num_minus(s->d->start_ms, START_MIN_MS);
+    uint64_t span = num_sub_sat(s->d->start_ms, START_MIN_MS);
 
     return (START_MIN_MS + (uint64_t)(sim_chance(s) * (double)span)) * 1000;
 }
--- a/simcall.c
+++ b/simcall.c
@@ -220,7 +220,7 @@
     snprintf(routes[j->kind], sizeof(routes[j->kind]), "kind-%u", j->kind);
     sub.route_name = routes[j->kind];
     sub.route = (struct gs_route){k->stretch_milli, k->slo_ms};
-    sub.left_ms = (uint32_t)(num_minus(j->deadline_us, s->now_us) / 1000);
+    sub.left_ms = (uint32_t)(num_sub_sat(j->deadline_us, s->now_us) / 1000);
     sub.tasks = tasks;
     sub.count = j->count;
     return sub;
--- a/simdraw.c
+++ b/simdraw.c
@@ -219,7 +219,7 @@
 {
     struct sim_trouble *t = &d->trouble[d->troubles++];
     uint32_t last =
-        (uint32_t)num_max(FIRST_MS + 1, num_minus(d->length_ms, LAST_MS));
+        (uint32_t)num_max(FIRST_MS + 1, num_sub_sat(d->length_ms, LAST_MS));
 
     t->kind = kind;
     t->at_ms = whole_between(rng, FIRST_MS, last);
--- a/simentry.c
+++ b/simentry.c
@@ -255,7 +255,7 @@
     if (e->s->d->entries_keep ||
         !rl_give(&e->relay, sim_ms(e->s), who, STR("host"), str_of(path),
             STR("body"),
-            (uint32_t)(num_minus(who->job->deadline_us, e->s->now_us) /
+            (uint32_t)(num_sub_sat(who->job->deadline_us, e->s->now_us) /
                        1000))) {
         return false;
     }
--- a/subkey.c
+++ b/subkey.c
@@ -25,8 +25,8 @@
     if (customer.n >= CT_NAME_MAX || key.n > SK_KEY_MAX) {
         return false;
     }
-    sk->customer_n = (uint16_t)customer.n;
-    sk->n = (uint16_t)(customer.n + 1 + key.n);
+    sk->customer_len = (uint16_t)customer.n;
+    sk->len = (uint16_t)(customer.n + 1 + key.n);
     if (customer.n > 0) {
         memcpy(sk->p, customer.p, customer.n);
     }
@@ -40,18 +40,18 @@
 struct str
 sk_customer(const struct subkey *sk)
 {
-    return str_make(sk->p, sk->customer_n);
+    return str_make(sk->p, sk->customer_len);
 }
 
 struct str
 sk_key(const struct subkey *sk)
 {
     return str_make(
-        sk->p + sk->customer_n + 1, (size_t)sk->n - sk->customer_n - 1);
+        sk->p + sk->customer_len + 1, (size_t)sk->len - sk->customer_len - 1);
 }
 
 static bool
-uuid_shape_ok(struct str key)
+has_uuid_format(struct str key)
 {
     for (size_t i = 0; i < key.n; i++) {
         bool dash = i == 8 || i == 13 || i == 18 || i == 23;
@@ -72,7 +72,7 @@
     char hex[16];
     uint64_t v;
 
-    if (key.n != UUID_LEN || !uuid_shape_ok(key) || key.p[14] != '7') {
+    if (key.n != UUID_LEN || !has_uuid_format(key) || key.p[14] != '7') {
         return false;
     }
     memcpy(hex, key.p, 8);
--- a/test/soak.c
+++ b/test/soak.c
@@ -342,7 +342,7 @@
 send_call(struct call *c)
 {
     struct soak *s = c->s;
-    uint64_t left = num_minus(c->deadline_ms, s->now);
+    uint64_t left = num_sub_sat(c->deadline_ms, s->now);
     char url[128];
     char deadline[64];
     char body[256];
@@ -398,7 +398,7 @@
         s->next_submit_ms = s->now + SUBMIT_MS;
         submit(s);
     }
-    for (size_t i = num_minus(s->call_count, 200); i < s->call_count; i++) {
+    for (size_t i = num_sub_sat(s->call_count, 200); i < s->call_count; i++) {
         struct call *c = &s->calls[i];
 
         if (c->again_ms != 0 && s->now >= c->again_ms) {
--- a/toml.cc
+++ b/toml.cc
@@ -1,4 +1,4 @@
-/* The only C++ of the product: TOML has no C library in Debian. */
+/* C++, as Debian has no C library for TOML. */
 #include "conf.h"
 
 #include <string>
--- a/turn.c
+++ b/turn.c
@@ -109,7 +109,7 @@
     struct co_load *l = j->load;
     double work;
 
-    j->slack_ms = (uint32_t)num_minus(g->objective_ms, g->run_ms);
+    j->slack_ms = (uint32_t)num_sub_sat(g->objective_ms, g->run_ms);
     if (j->slack_ms == 0) {
         return; /* it is late already and makes nobody wait */
     }
