--- a/proto.x
+++ b/proto.x
@@ -1,16 +1,21 @@
 /*
- * Messages between dunlinweird processes.  Each travels as one ONC RPC call
+ * Messages between dunlinweird processes.  Each message is one ONC RPC call
  * without a reply (batching, RFC 5531 section 8); the procedure number is the
- * message's type.  A module that needs an answer gets it as a message of its
- * own and sends again until it comes.
+ * message's type.  An answer is a message of its own; a module that needs one
+ * resends its request until the answer arrives.
+ *
+ * Fields named ..._ms are in ms.  An age_ms is the time that has passed and a
+ * left_ms, deadline_ms or valid_ms the time that remains, at the time of
+ * sending, so that no two clocks are compared.
  */
-const DW_MAX_TASKS = 450;
-const DW_MAX_BYTES = 262144;
-const DW_MAX_ITEMS = 65536;
+const DW_MAX_TASKS = 450;    /* tasks of a job */
+const DW_MAX_BYTES = 262144; /* bytes of a string */
+const DW_MAX_ITEMS = 65536;  /* elements of a list */
 
 typedef opaque dw_bytes<DW_MAX_BYTES>;
 typedef opaque dw_value<4194304>;
 
+/* Type of a message and its RPC procedure number. */
 enum dw_mtype {
     DW_HELLO = 1,
     DW_SUBMIT = 2,
@@ -42,39 +47,40 @@
     DW_RELAYED = 28
 };
 
-/* What a submission's answer says. */
+/* State of a submission, in an answer. */
 enum dw_astate {
-    DW_A_COMPLETE = 0,
-    DW_A_FAILED = 1,
-    DW_A_NOT_RUN = 2,
-    DW_A_UNKNOWN = 3,
-    DW_A_MISMATCH = 4,
-    DW_A_MOVED = 5,
+    DW_A_COMPLETE = 0, /* all tasks are done; their results are included */
+    DW_A_FAILED = 1,   /* ended without a complete result */
+    DW_A_NOT_RUN = 2,  /* no task was started */
+    DW_A_UNKNOWN = 3,  /* not known whether a task was started */
+    DW_A_MISMATCH = 4, /* the key was used with another body */
+    DW_A_MOVED = 5,    /* the sender does not serve the partition now */
     DW_A_RUNNING = 6
 };
 
-/* What is known of one task. */
+/* State of one task. */
 enum dw_tstate {
-    DW_T_WAITING = 0,
-    DW_T_OFFERED = 1,
-    DW_T_QUEUED = 2,
+    DW_T_WAITING = 0, /* at the owner, not offered to a host */
+    DW_T_OFFERED = 1, /* offered to a host that has not replied */
+    DW_T_QUEUED = 2,  /* accepted by a host, not started */
     DW_T_RUNNING = 3,
     DW_T_DONE = 4,
     DW_T_ERROR = 5,
     DW_T_NOT_STARTED = 6,
-    DW_T_UNKNOWN = 7,
-    DW_T_STOPPED = 8
+    DW_T_UNKNOWN = 7, /* not known whether it was started */
+    DW_T_STOPPED = 8  /* stopped while running */
 };
 
 struct dw_task {
-    unsigned int index;
+    unsigned int index; /* within the job */
     dw_bytes kind;
     dw_bytes payload;
     unsigned int millicores;
     unsigned int memory_mb;
-    unsigned int run_ms;
+    unsigned int run_ms; /* declared run time */
 };
 
+/* State of a task and, once it has ended, its result. */
 struct dw_outcome {
     unsigned int index;
     dw_tstate state;
@@ -83,32 +89,35 @@
     dw_bytes body;
 };
 
+/* Entry to owner: a caller's submission, or a query of its state. */
 struct dw_submit {
-    unsigned hyper request;
+    unsigned hyper request; /* the entry's number; the answer has it too */
     unsigned int partition;
     dw_bytes customer;
     dw_bytes key;
     unsigned hyper body_hash;
-    unsigned int age_ms;
+    unsigned int age_ms; /* since the entry received the request */
     unsigned int deadline_ms;
-    unsigned int width;
-    unsigned int refuse_ms;
-    bool lookup;
-    bool poll;
+    unsigned int width;     /* most tasks outstanding at a time */
+    unsigned int refuse_ms; /* shortest time that a refusal stands */
+    bool lookup; /* join a known job, but admit none; refuse with reason */
+    bool poll;   /* answer with the present state at once */
     dw_bytes reason;
     dw_task tasks<DW_MAX_TASKS>;
 };
 
+/* Owner to entry. */
 struct dw_answer {
     unsigned hyper request;
     unsigned int partition;
     dw_astate state;
-    unsigned int retry_ms;
-    bool refund;
+    unsigned int retry_ms; /* until a retry is useful; 0: not said */
+    bool refund; /* return what the request was charged to the limits */
     dw_bytes reason;
     dw_outcome tasks<DW_MAX_TASKS>;
 };
 
+/* Capacity and use of a host. */
 struct dw_load {
     unsigned int slots;
     unsigned int busy;
@@ -117,14 +126,14 @@
     unsigned int memory_mb;
     unsigned int free_millicores;
     unsigned int free_memory_mb;
-    unsigned int error_permille;
+    unsigned int error_permille; /* of recent tasks, that failed */
     bool serving;
 };
 
-/* A host's load as the sender last heard it. */
+/* Another host's load as last reported to the sender. */
 struct dw_hint {
     unsigned hyper id;
-    unsigned int used;
+    unsigned int used; /* tasks running or queued */
     unsigned int age_ms;
 };
 
@@ -135,23 +144,26 @@
     dw_task task;
 };
 
+/* Owner to host: tasks of one job to run. */
 struct dw_offer {
     unsigned int partition;
     unsigned hyper epoch;
     dw_bytes customer;
     dw_bytes key;
-    unsigned int count;
+    unsigned int count; /* of all tasks of the job */
     unsigned int deadline_ms;
     dw_hints hints;
     dw_offer_item items<DW_MAX_TASKS>;
 };
 
+/* State of one attempt to run a task. */
 struct dw_mark {
     unsigned int index;
     unsigned int attempt;
     dw_tstate state;
 };
 
+/* Host to owner: reply to an offer or a revocation. */
 struct dw_offered {
     unsigned int partition;
     unsigned hyper epoch;
@@ -162,51 +174,61 @@
     dw_mark marks<DW_MAX_TASKS>;
 };
 
+/* Host to owner: tasks that ended. */
 struct dw_result {
     unsigned int partition;
     dw_bytes customer;
     dw_bytes key;
     dw_load load;
     dw_hints hints;
-    unsigned hyper refs<DW_MAX_TASKS>;
+    unsigned hyper refs<DW_MAX_TASKS>; /* the host's numbers of the runs */
     dw_outcome tasks<DW_MAX_TASKS>;
 };
 
+/* Owner to host: results that the host may drop. */
 struct dw_result_ack {
     unsigned hyper refs<DW_MAX_ITEMS>;
 };
 
+/* Owner to host: withdraw tasks that have not started. */
 struct dw_revoke {
     unsigned int partition;
     unsigned hyper epoch;
     dw_bytes customer;
     dw_bytes key;
-    bool stop;
+    bool stop; /* also stop those that run */
     dw_mark marks<DW_MAX_TASKS>;
 };
 
+/*
+ * New owner to hosts: accept no offers of an older epoch for these partitions,
+ * and send the start records.
+ */
 struct dw_fence {
-    unsigned int nonce;
+    unsigned int nonce; /* the sender's number of this takeover */
     unsigned hyper epoch;
     unsigned int partitions<DW_MAX_ITEMS>;
 };
 
+/* A host's start record: tasks of one job that were offered to it. */
 struct dw_record {
     unsigned int partition;
     dw_bytes customer;
     dw_bytes key;
-    unsigned int count;
-    unsigned int age_ms;
+    unsigned int count;  /* of all tasks of the job; 0: not known */
+    unsigned int age_ms; /* since its last use */
     dw_mark marks<DW_MAX_TASKS>;
 };
 
+/* Host to new owner: start records, in numbered chunks. */
 struct dw_records {
-    unsigned int nonce;
-    bool last;
-    unsigned int chunk;
+    unsigned int nonce; /* of the fence message */
+    bool last;          /* no chunk follows */
+    unsigned int chunk; /* from 0 */
     dw_record records<DW_MAX_ITEMS>;
 };
 
+/* A task in a hand-over, with the host that it was last offered to. */
 struct dw_job_task {
     dw_task task;
     dw_outcome outcome;
@@ -214,32 +236,35 @@
     unsigned hyper host;
 };
 
+/* A job in a hand-over. */
 struct dw_job {
     dw_bytes customer;
     dw_bytes key;
     unsigned hyper body_hash;
-    unsigned hyper admit_request;
-    unsigned int age_ms;
-    unsigned int deadline_ms;
-    unsigned int width;
+    unsigned hyper admit_request; /* request that it was admitted for */
+    unsigned int age_ms;          /* since its admission */
+    unsigned int deadline_ms; /* once it has ended: until it is forgotten */
+    unsigned int width;       /* most tasks outstanding at a time */
     dw_astate state;
     bool refused;
-    bool kept;
+    bool kept; /* the results are still stored */
     bool cancelled;
     dw_bytes reason;
     dw_job_task tasks<DW_MAX_TASKS>;
     dw_outcome answer<DW_MAX_TASKS>;
 };
 
+/* Owner to next owner: the jobs of a partition, in numbered chunks. */
 struct dw_handover {
     unsigned int partition;
-    unsigned hyper epoch;
-    unsigned int chunk;
-    bool last;
-    unsigned int unsure_ms;
+    unsigned hyper epoch; /* the sender's number of this hand-over */
+    unsigned int chunk;   /* from 0 */
+    bool last;            /* no chunk follows */
+    unsigned int unsure_ms; /* start records may be missing for so long */
     dw_job jobs<DW_MAX_ITEMS>;
 };
 
+/* Next owner to owner: a chunk has been received. */
 struct dw_handed {
     unsigned int partition;
     unsigned hyper epoch;
@@ -247,6 +272,7 @@
     bool last;
 };
 
+/* A key of the store; mod is the revision of its last change. */
 struct dw_kv {
     dw_bytes key;
     dw_value value;
@@ -254,48 +280,54 @@
     bool deleted;
 };
 
+/* Request the changes of the state since a revision. */
 struct dw_pull {
-    unsigned hyper asked_ms;
-    unsigned hyper rev;
-    bool mesh;
+    unsigned hyper asked_ms; /* the sender's clock; the reply has it too */
+    unsigned hyper rev;      /* that the sender holds */
+    bool mesh; /* false: a regular pull within a failure domain */
 };
 
+/* The state, or its changes since the revision of a pull. */
 struct dw_state {
-    unsigned hyper asked_ms;
-    unsigned hyper rev;
-    unsigned int age_ms;
-    bool confirmed;
-    bool reader;
-    bool store_down;
-    bool whole;
-    unsigned hyper majority_rev;
+    unsigned hyper asked_ms; /* of the pull; 0: not a reply */
+    unsigned hyper rev;      /* that the sender holds */
+    unsigned int age_ms;     /* since the store confirmed it as current */
+    bool confirmed;          /* the store has confirmed it at least once */
+    bool reader;             /* the sender reads the store itself */
+    bool store_down;         /* the sender cannot reach the store */
+    bool whole;              /* kvs is the complete state */
+    unsigned hyper majority_rev; /* held in a majority of failure domains */
     dw_kv kvs<DW_MAX_ITEMS>;
 };
 
+/* State of a process in the membership protocol. */
 enum dw_alive {
     DW_M_ALIVE = 0,
     DW_M_SUSPECT = 1,
     DW_M_DEAD = 2
 };
 
+/* State of one process, passed on with pings. */
 struct dw_update {
     unsigned hyper id;
-    unsigned int round;
+    unsigned int round; /* its incarnation; the higher one is valid */
     dw_alive state;
-    unsigned hyper rev;
+    unsigned hyper rev; /* of the state that it holds */
     dw_load load;
 };
 
+/* A ping, its acknowledgement, or a request to ping on behalf of another. */
 struct dw_ping {
-    unsigned int seq;
-    unsigned hyper target;
-    unsigned hyper origin;
+    unsigned int seq;      /* of the probe */
+    unsigned hyper target; /* process that is probed */
+    unsigned hyper origin; /* process that probes */
     dw_update updates<32>;
 };
 
 /*
- * A part of a contract's limits.  rate is in thousandths of a start per
- * second, level in thousandths of a start.
+ * A share of a contract's limits.  rate is in thousandths of a start per
+ * second, burst in starts, level (starts available at once) in thousandths of
+ * a start, running and pending in tasks.
  */
 struct dw_share {
     unsigned hyper rate;
@@ -305,24 +337,27 @@
     unsigned hyper pending;
 };
 
+/* Entry to lender: renew the share held and request more. */
 struct dw_borrow {
     dw_bytes customer;
-    unsigned int seq;
+    unsigned int seq; /* the reply has it too */
     dw_share held;
-    dw_share want;
-    unsigned hyper given_level;
+    dw_share want;              /* in addition to held */
+    unsigned hyper given_level; /* part of the level that is returned */
 };
 
+/* Lender to entry. */
 struct dw_lent {
     dw_bytes customer;
     unsigned int seq;
-    dw_share grant;
-    unsigned int valid_ms;
-    bool rebuilding;
-    bool exhausted;
-    bool scarce;
+    dw_share grant; /* total share now held; its level is what is added */
+    unsigned int valid_ms; /* 0: the loan is not renewed */
+    bool rebuilding;       /* new lender: grants nothing in addition yet */
+    bool exhausted;        /* less was granted than requested */
+    bool scarce;           /* a request was cut short recently */
 };
 
+/* Entry to owner: cancel a submission. */
 struct dw_cancel {
     unsigned hyper request;
     unsigned int partition;
@@ -330,19 +365,21 @@
     dw_bytes key;
 };
 
-/* A new home asks its predecessor what is on loan. */
+/* New lender to previous lender: request the loans of a customer. */
 struct dw_ledger_ask {
     dw_bytes customer;
 };
 
+/* A share lent to one entry. */
 struct dw_loan {
     unsigned hyper borrower;
-    unsigned int seq;
+    unsigned int seq; /* of the borrower's last request */
     dw_share share;
     unsigned int left_ms;
-    bool expired;
+    bool expired; /* only running and pending still count */
 };
 
+/* Previous lender to new lender: level not lent, and the loans. */
 struct dw_ledger {
     dw_bytes customer;
     unsigned hyper level;
@@ -350,9 +387,10 @@
 };
 
 /*
- * What every message of a session begins with.  clock_ms is the sender's
- * clock and echo_ms the receiver's as the sender last heard it; seq numbers
- * the messages that must arrive, 0 is a heartbeat; ack is the last one taken.
+ * Header of every message of a session.  clock_ms is the sender's clock and
+ * echo_ms the echoed timestamp: the receiver's clock as the sender last
+ * received it.  seq numbers the messages that must be delivered; 0 is a
+ * heartbeat.  ack is the seq of the last message received in order.
  */
 struct dw_head {
     unsigned hyper session;
@@ -364,13 +402,13 @@
 
 /* One run of a task of a best-effort job. */
 struct dw_run {
-    unsigned int index;
+    unsigned int index; /* of the task in the job */
     unsigned hyper run;
     unsigned int millicores;
     unsigned int memory_mb;
     unsigned int gpus;
-    unsigned int est_ms;
-    unsigned int wait_ms;
+    unsigned int est_ms;  /* estimated run time */
+    unsigned int wait_ms; /* longest wait for capacity at the agent */
 };
 
 /* Runs of one job; the specification is the same for all its tasks. */
@@ -381,6 +419,7 @@
     dw_run runs<DW_MAX_ITEMS>;
 };
 
+/* Identifies a run. */
 struct dw_run_ref {
     unsigned hyper job;
     unsigned int index;
@@ -388,71 +427,77 @@
 };
 
 /*
- * What an entry could not place for want of room: millicores of tasks that can
- * still meet their objective, of those that cannot, and of the smallest.  And
- * the ms that it asks to be left between reports on a changed room.
+ * An entry's demand: tasks of a service that it cannot place for lack of free
+ * capacity, in millicores.
  */
 struct dw_want {
-    unsigned int urgent;
-    unsigned int late;
-    unsigned int least;
-    unsigned int pause_ms;
+    unsigned int urgent;   /* tasks that can still meet their objective */
+    unsigned int late;     /* tasks that cannot */
+    unsigned int least;    /* the smallest task */
+    unsigned int pause_ms; /* between reports of changed free capacity */
 };
 
 /* Entry to agent: runs to start and runs to stop. */
 struct dw_orders {
     dw_head head;
     dw_want want;
-    dw_bytes address;
+    dw_bytes address; /* of the entry, with port; may be empty */
     unsigned int port;
     dw_run_group groups<DW_MAX_ITEMS>;
     dw_run_ref stops<DW_MAX_ITEMS>;
 };
 
+/* Outcome of a run. */
 enum dw_end {
     DW_END_DONE = 0,
     DW_END_FAILED = 1,
     DW_END_STOPPED = 2,
-    DW_END_LOST = 3,
-    DW_END_NOT_RUN = 4,
-    DW_END_FULL = 5
+    DW_END_LOST = 3,    /* it may have run; its outcome is not known */
+    DW_END_NOT_RUN = 4, /* it was not started */
+    DW_END_FULL = 5     /* not started for lack of capacity */
 };
 
+/* A run that ended, with its outcome. */
 struct dw_run_end {
     dw_run_ref ref;
     dw_end how;
     unsigned int ran_ms;
 };
 
-/* What a worker has to give, as of the message's ack. */
+/*
+ * Capacity of a worker.  The free capacity includes the effect of all orders up
+ * to the message's ack and is negative if more was ordered than it has.
+ * free_millicores is the share that is reserved for the receiving entry.
+ */
 struct dw_room {
     bool serving;
     bool draining;
-    unsigned int left_ms;
+    unsigned int left_ms; /* until it exits; UINT32_MAX: not planned */
     unsigned int millicores;
     unsigned int memory_mb;
     unsigned int gpus;
     int free_millicores;
     int free_memory_mb;
     int free_gpus;
-    unsigned int waiting;
-    unsigned int speed_permille;
-    unsigned int pace_permille;
-    unsigned int fail_permille; /* of runs that ended there lately */
+    unsigned int waiting;        /* runs queued at the agent */
+    unsigned int speed_permille; /* estimated over actual run time, usual */
+    unsigned int pace_permille;  /* the same, recent */
+    unsigned int fail_permille;  /* of recently ended runs, that failed */
 };
 
-/* Agent to entry: its room, and runs that ended. */
+/* Agent to entry: its worker's capacity, and runs that ended. */
 struct dw_report {
     dw_head head;
-    bool clean;
+    bool clean; /* no run of an earlier session is left on the worker */
     dw_room room;
     dw_run_end ends<DW_MAX_ITEMS>;
 };
 
 /*
- * What operators want, between entries, while one of them does not reach the
- * platform's store.  as_of is the store's revision up to which the sender
- * knows all; a question has only that.
+ * Operator state (configuration and withdrawals), exchanged between entries
+ * while one of them cannot reach the platform's store.  as_of is the store's
+ * revision up to which the sender's state is complete; a request (question is
+ * true) has no other field set.
  */
 struct dw_news {
     bool question;
@@ -461,29 +506,34 @@
     dw_bytes withdrawn<64>;
 };
 
-/* A caller's request, as it came. */
+/* A caller's HTTP request, unchanged. */
 struct dw_request {
-    unsigned hyper ref;
+    unsigned hyper ref; /* the origin entry's number; the reply has it too */
     dw_bytes host;
     dw_bytes path;
     dw_bytes body;
     unsigned int left_ms;
 };
 
-/* Entry to entry: requests to begin, and those whose callers have left. */
+/*
+ * Origin entry to peer entry: forwarded requests to start, and the refs of
+ * those whose callers have disconnected.
+ */
 struct dw_relay {
     dw_head head;
     dw_request requests<DW_MAX_ITEMS>;
     unsigned hyper left<DW_MAX_ITEMS>;
 };
 
+/* Outcome of a forwarded request. */
 enum dw_how {
     DW_HOW_COMPLETED = 0,
     DW_HOW_FAILED = 1,
-    DW_HOW_GAVE_UP = 2,
+    DW_HOW_GAVE_UP = 2, /* its time ran out; parts of it may have run */
     DW_HOW_NOT_RUN = 3
 };
 
+/* Answer to a forwarded request. */
 struct dw_reply {
     unsigned hyper ref;
     dw_how how;
@@ -492,14 +542,13 @@
 };
 
 /*
- * Back: answers, whether more requests are welcome, how busy the entry is, and
- * the version of its configuration.
+ * Peer entry to origin entry: answers, and the peer's state.
  */
 struct dw_relayed {
     dw_head head;
-    bool willing;
-    unsigned int busy_permille;
-    unsigned hyper config;
+    bool willing;               /* it accepts more requests */
+    unsigned int busy_permille; /* utilization of its processor */
+    unsigned hyper config;      /* version of its configuration */
     dw_reply replies<DW_MAX_ITEMS>;
 };
 
@@ -535,7 +584,8 @@
 };
 
 /*
- * clock_ms is the sender's clock; echo_ms is the receiver's own clock as the sender last heard it: the
+ * A message with its sender and receiver.  clock_ms is the sender's clock.
+ * echo_ms is the receiver's own clock as the sender last received it: the
  * receiver subtracts it from its clock and so bounds the time in transit
  * without comparing two clocks.
  */
@@ -547,6 +597,7 @@
     dw_msg msg;
 };
 
+/* Reply to the DW_HELLO call: the process's id and clock. */
 struct dw_hello {
     unsigned hyper id;
     unsigned hyper clock_ms;
