--- a/agentd.c
+++ b/agentd.c
@@ -369,11 +369,12 @@
 
     s->state = ad;
     ad->s = s;
-    snprintf(ad->url, sizeof(ad->url), "http://%s", s->conf->platform.worker);
+    snprintf(ad->url, sizeof(ad->url), "http://%s",
+        s->conf->platform.worker_endpoint);
     ad->http = httpc_new(s->loop, WORKER_CONNECTIONS);
     ad->poll_http = httpc_new(s->loop, 1);
     ag_init(&ad->agent, proc_now(), &ag_ops, ad);
-    conf_endpoint(&at, s->conf->platform.announce);
+    conf_endpoint(&at, s->conf->platform.announce_listen);
     cfg.port = at.port;
     return web_open(&ad->announce, s->loop, &cfg, on_announce,
                on_announce_gone, ad, e) == WEB_OK
--- a/coord.c
+++ b/coord.c
@@ -779,7 +779,7 @@
 {
     uint64_t slow_ms =
         (uint64_t)t->spec.est_ms * 1000 / num_max(a->status.pace_permille, 1);
-    uint64_t remaining_ms = num_minus(slow_ms, now - t->sent_ms);
+    uint64_t remaining_ms = num_sub_sat(slow_ms, now - t->sent_ms);
     uint64_t elsewhere_ms =
         (uint64_t)t->spec.est_ms * 1000 / num_max(speed, 1);
 
--- a/entrycall.c
+++ b/entrycall.c
@@ -43,7 +43,8 @@
         " objective_ms=%" PRIu64 " left_ms=%" PRIu64 " speed=%u",
         j->id, why, j->task_count, j->done_count, j->started,
         now - j->arrived_ms, j->objective_ms - j->arrived_ms,
-        num_minus(j->deadline_ms, now), e->coord.fleet.median_speed_permille);
+        num_sub_sat(j->deadline_ms, now),
+        e->coord.fleet.median_speed_permille);
 }
 
 static void
@@ -398,7 +399,7 @@
 {
     struct str job = job_id_text(path_of(c));
 
-    if (e->s->conf->platform.resend_ms < FORWARD_RESEND_MS ||
+    if (e->s->conf->platform.caller_resend_ms < FORWARD_RESEND_MS ||
         refusal_reason(e, now) != NULL ||
         !rl_forward(&e->relay, now, c, host_of(c), path_of(c), body_of(c),
             left_ms(c->req))) {
--- a/qpolicy.c
+++ b/qpolicy.c
@@ -114,7 +114,7 @@
     struct co_service_load *l = j->load;
     double work;
 
-    j->slack_ms = (uint32_t)num_minus(g->objective_ms, g->run_ms);
+    j->slack_ms = (uint32_t)num_sub_sat(g->objective_ms, g->run_ms);
     if (j->slack_ms == 0) {
         return; /* late already: placed after jobs that are on time */
     }
--- a/quota.c
+++ b/quota.c
@@ -139,7 +139,7 @@
         o->borrower = l->borrower;
         o->seq = l->seq;
         o->share = l->share;
-        o->left_ms = num_left(l->expires_ms, now);
+        o->left_ms = num_remaining_ms(l->expires_ms, now);
         o->expired = l->expired;
     }
 }
@@ -232,8 +232,8 @@
     dw_share lent;
 
     sum_loans(ledger, &lent);
-    rate = num_minus((uint64_t)c->rate * MILLI, lent.rate);
-    cap = num_minus(c->burst, lent.burst) * MILLI;
+    rate = num_sub_sat((uint64_t)c->rate * MILLI, lent.rate);
+    cap = num_sub_sat(c->burst, lent.burst) * MILLI;
     ledger->level = num_min(
         cap, ledger->level + rate * (now - ledger->refilled_ms) / MILLI);
     ledger->refilled_ms = now;
@@ -307,13 +307,14 @@
     dw_share lent;
 
     sum_loans(ledger, &lent);
-    g->rate =
-        num_min(wanted->rate, num_minus((uint64_t)c->rate * MILLI, lent.rate));
-    g->burst = num_min(wanted->burst, num_minus(c->burst, lent.burst));
+    g->rate = num_min(
+        wanted->rate, num_sub_sat((uint64_t)c->rate * MILLI, lent.rate));
+    g->burst = num_min(wanted->burst, num_sub_sat(c->burst, lent.burst));
     g->level = num_min(wanted->level, ledger->level);
-    g->running = num_min(wanted->running, num_minus(c->running, lent.running));
+    g->running =
+        num_min(wanted->running, num_sub_sat(c->running, lent.running));
     g->pending = num_min(wanted->pending,
-        num_minus((uint64_t)c->running + c->queued, lent.pending));
+        num_sub_sat((uint64_t)c->running + c->queued, lent.pending));
     ledger->level -= g->level;
 }
 
@@ -403,7 +404,7 @@
     l->share = held;
     if (!rebuilding) {
         ledger->level = num_min(ledger->level + b->given_level,
-            num_minus(c->burst, lent.burst) * MILLI);
+            num_sub_sat(c->burst, lent.burst) * MILLI);
         grant(ledger, c, &b->want, &g);
     }
     add_share(&l->share, &g);
@@ -524,11 +525,11 @@
     dw_share t;
 
     target_share(a, a->scarce ? 1 : 2, &t);
-    w->rate = num_minus(t.rate, a->held.rate);
-    w->burst = num_minus(t.burst, a->held.burst);
-    w->level = num_minus(t.level, a->held.level);
-    w->running = num_minus(t.running, a->held.running);
-    w->pending = num_minus(t.pending, a->held.pending);
+    w->rate = num_sub_sat(t.rate, a->held.rate);
+    w->burst = num_sub_sat(t.burst, a->held.burst);
+    w->level = num_sub_sat(t.level, a->held.level);
+    w->running = num_sub_sat(t.running, a->held.running);
+    w->pending = num_sub_sat(t.pending, a->held.pending);
 }
 
 /* Return what is held far above the demand; slots in use are kept.  *level is
@@ -591,7 +592,7 @@
 {
     return now < a->expires_ms && a->held.level / MILLI >= tasks &&
            a->held.running > a->running_used &&
-           num_minus(a->held.pending, a->pending_used) >= tasks;
+           num_sub_sat(a->held.pending, a->pending_used) >= tasks;
 }
 
 /* Time until the bucket holds enough for `tasks`, at the rate held. */
@@ -599,7 +600,7 @@
 retry_after_ms(const struct quota_account *a, uint32_t tasks)
 {
     uint64_t rate = num_max(a->held.rate, MILLI);
-    uint64_t lack = num_minus((uint64_t)tasks * MILLI, a->held.level);
+    uint64_t lack = num_sub_sat((uint64_t)tasks * MILLI, a->held.level);
     uint64_t ms = lack * MILLI / rate;
 
     return (uint32_t)(ms < 100 ? 100 : ms > 60000 ? 60000 : ms);
@@ -658,12 +659,12 @@
         return;
     }
     refill(a, now);
-    a->running_used = num_minus(a->running_used, charge->running);
-    a->pending_used = num_minus(a->pending_used, charge->pending);
+    a->running_used = num_sub_sat(a->running_used, charge->running);
+    a->pending_used = num_sub_sat(a->pending_used, charge->pending);
     if (refund) {
         a->held.level = num_min(a->held.burst * MILLI,
             a->held.level + (uint64_t)charge->starts * MILLI);
-        a->window_starts = num_minus(a->window_starts, charge->starts);
+        a->window_starts = num_sub_sat(a->window_starts, charge->starts);
     }
 }
 
--- a/runner.c
+++ b/runner.c
@@ -111,7 +111,7 @@
 finish_run(struct runner *r, uint64_t now, struct rn_run *run, dw_end outcome)
 {
     uint32_t ran_ms =
-        run->started_ms != 0 ? (uint32_t)num_minus(now, run->started_ms) : 0;
+        run->started_ms != 0 ? (uint32_t)num_sub_sat(now, run->started_ms) : 0;
 
     if (outcome == DW_END_DONE) {
         r->stats.done++;
@@ -812,8 +812,9 @@
     memset(room, 0, sizeof(*room));
     room->serving = rn_serving(r);
     room->draining = r->draining;
-    room->left_ms =
-        r->worker_exit_ms != 0 ? num_left(r->worker_exit_ms, now) : UINT32_MAX;
+    room->left_ms = r->worker_exit_ms != 0
+                        ? num_remaining_ms(r->worker_exit_ms, now)
+                        : UINT32_MAX;
     room->millicores = r->millicores;
     room->memory_mb = r->memory_mb;
     room->gpus = r->gpus;
--- a/sim.c
+++ b/sim.c
@@ -347,7 +347,7 @@
 static uint64_t
 restart_delay_us(struct sim *s)
 {
-    uint64_t span = num_minus(s->d->restart_max_ms, RESTART_MIN_MS);
+    uint64_t span = num_sub_sat(s->d->restart_max_ms, RESTART_MIN_MS);
 
     return (RESTART_MIN_MS + (uint64_t)(sim_random(s) * (double)span)) * 1000;
 }
--- a/simdraw.c
+++ b/simdraw.c
@@ -222,7 +222,7 @@
 {
     struct sim_fault *fault = &d->fault[d->fault_count++];
     uint32_t latest_ms = (uint32_t)num_max(
-        FIRST_FAULT_MS + 1, num_minus(d->length_ms, FAULT_TAIL_MS));
+        FIRST_FAULT_MS + 1, num_sub_sat(d->length_ms, FAULT_TAIL_MS));
 
     fault->kind = kind;
     fault->start_ms = integer_between(rng, FIRST_FAULT_MS, latest_ms);
--- a/simentry.c
+++ b/simentry.c
@@ -258,7 +258,7 @@
     if (e->s->d->no_forwarding ||
         !rl_forward(&e->relay, sim_now_ms(e->s), waiter, STR("host"),
             str_of(path), STR("body"),
-            (uint32_t)(num_minus(waiter->job->deadline_us, e->s->now_us) /
+            (uint32_t)(num_sub_sat(waiter->job->deadline_us, e->s->now_us) /
                        1000))) {
         return false;
     }
--- a/test/soak.c
+++ b/test/soak.c
@@ -351,7 +351,7 @@
 send_call(struct call *c)
 {
     struct soak *s = c->s;
-    uint64_t remaining_ms = num_minus(c->deadline_ms, s->now);
+    uint64_t remaining_ms = num_sub_sat(c->deadline_ms, s->now);
     char url[128];
     char deadline[64];
     char body[256];
@@ -408,7 +408,7 @@
         s->next_submit_ms = s->now + SUBMIT_INTERVAL_MS;
         submit(s);
     }
-    for (size_t i = num_minus(s->call_count, 200); i < s->call_count; i++) {
+    for (size_t i = num_sub_sat(s->call_count, 200); i < s->call_count; i++) {
         struct call *c = &s->calls[i];
 
         if (c->resend_at_ms != 0 && s->now >= c->resend_at_ms) {
