--- a/coord.c
+++ b/coord.c
@@ -198,7 +198,7 @@
 }
 
 static void
-remember_completed(
+record_completed(
     struct coord *c, uint64_t now, uint64_t id, enum co_outcome outcome)
 {
     struct co_ended *e = NULL;
@@ -250,7 +250,7 @@
         free(w);
     }
     if (outcome == CO_COMPLETED) {
-        remember_completed(c, now, j->id, outcome);
+        record_completed(c, now, j->id, outcome);
     }
     free_job(c, j);
 }
@@ -297,22 +297,22 @@
 /* Why a job is refused on arrival; NULL if it is accepted. */
 static const char *
 refusal_reason(struct coord *c, uint64_t now, const struct co_submit *s,
-    const struct es_estimate *g)
+    const struct es_estimate *est)
 {
     struct fl_totals sum = fl_total(&c->fleet, now, s->service, 1);
 
-    if ((uint64_t)g->run_ms * CO_FASTEST_PERCENT / 100 >= s->timeout_ms) {
+    if ((uint64_t)est->run_ms * CO_FASTEST_PERCENT / 100 >= s->timeout_ms) {
         return "too_late";
     }
     if (sum.capacity <= 0 && now - c->last_capacity_ms > NO_WORKER_HOLD_MS) {
         return "no_workers";
     }
     for (size_t i = 0; i < s->task_count; i++) {
-        struct fl_requirements need = {s->service, s->tasks[i].millicores,
-            s->tasks[i].memory_mb, s->tasks[i].gpus, g->run_ms, 0, false,
+        struct fl_requirements req = {s->service, s->tasks[i].millicores,
+            s->tasks[i].memory_mb, s->tasks[i].gpus, est->run_ms, 0, false,
             false, 0};
 
-        if (!fl_never_fits(&c->fleet, now, &need)) {
+        if (!fl_never_fits(&c->fleet, now, &req)) {
             continue;
         }
         if (!fl_select_all(&c->fleet, now)) {
@@ -339,7 +339,7 @@
 
 static struct co_job *
 admit(struct coord *c, uint64_t now, const struct co_submit *s,
-    const struct es_estimate *g, void *handle)
+    const struct es_estimate *est, void *handle)
 {
     struct co_job *j = dw_zero(1, sizeof(*j));
 
@@ -350,10 +350,10 @@
     j->priority = s->priority;
     j->max_attempts = (uint32_t)num_max(s->max_attempts, 1);
     j->arrived_ms = now;
-    j->objective_ms = now + g->objective_ms;
-    j->useful_until_ms = now + g->useful_ms;
+    j->objective_ms = now + est->objective_ms;
+    j->useful_until_ms = now + est->useful_ms;
     j->deadline_ms = now + s->timeout_ms;
-    j->longest_task_ms = g->run_ms;
+    j->longest_task_ms = est->run_ms;
     j->task_count = (uint32_t)s->task_count;
     j->tasks = dw_zero(s->task_count, sizeof(*j->tasks));
     attach(j, handle);
@@ -361,7 +361,7 @@
     for (uint32_t i = 0; i < j->task_count; i++) {
         j->tasks[i].spec = s->tasks[i];
         /* Tasks of one job are similar: one estimate serves all. */
-        j->tasks[i].spec.est_ms = g->run_ms;
+        j->tasks[i].spec.est_ms = est->run_ms;
         j->tasks[i].run = s->wall_ms;
         j->tasks[i].state = CO_DONE;
         set_state(c, j, &j->tasks[i], CO_WAITING);
@@ -375,9 +375,9 @@
 {
     struct co_job *j = find_job(c, s->id);
     struct co_ended *e = NULL;
-    struct es_input seen = {longest_declared_ms(s), s->timeout_ms};
+    struct es_input input = {longest_declared_ms(s), s->timeout_ms};
     struct es_model *model;
-    struct es_estimate g;
+    struct es_estimate est;
     const char *reason;
 
     c->stats.submitted++;
@@ -393,19 +393,19 @@
         return;
     }
     model = es_model_of(&c->run_times, s->route_name);
-    g = es_estimate_job(model, &s->route, &seen);
-    reason = refusal_reason(c, now, s, &g);
+    est = es_estimate_job(model, &s->route, &input);
+    reason = refusal_reason(c, now, s, &est);
     if (reason != NULL) {
         c->stats.not_run++;
-        c->ops->log_refusal(c->ctx, s, &g, reason, co_queued_ms(c, now));
+        c->ops->log_refusal(c->ctx, s, &est, reason, co_queued_ms(c, now));
         c->ops->answer(c->ctx, handle, CO_NOT_RUN, reason,
             qp_retry_after_ms(c, now, get_service_load(c, s->service)));
         return;
     }
-    j = admit(c, now, s, &g, handle);
-    qp_record_job(now, j, &g);
+    j = admit(c, now, s, &est, handle);
+    qp_record_job(now, j, &est);
     j->model = model;
-    j->seen = seen;
+    j->seen = input;
     c->has_new_jobs = true;
 }
 
@@ -527,11 +527,11 @@
 record_run_time(const struct coord *c, const struct fl_agent *a,
     struct co_job *j, uint32_t ran_ms)
 {
-    uint64_t usual = (uint64_t)ran_ms * a->status.speed_permille /
-                     num_max(c->fleet.median_speed_permille, 1);
+    uint64_t usual_ms = (uint64_t)ran_ms * a->status.speed_permille /
+                        num_max(c->fleet.median_speed_permille, 1);
 
     j->ran_slow |= fl_is_slow(&c->fleet, a);
-    j->longest_run_ms = (uint32_t)num_max(j->longest_run_ms, usual);
+    j->longest_run_ms = (uint32_t)num_max(j->longest_run_ms, usual_ms);
 }
 
 static void
@@ -649,13 +649,13 @@
 /* --- placement --- */
 
 static struct fl_requirements
-task_need(const struct co_job *j, const struct co_task *t)
+task_requirements(const struct co_job *j, const struct co_task *t)
 {
-    struct fl_requirements need = {j->load->service, t->spec.millicores,
+    struct fl_requirements req = {j->load->service, t->spec.millicores,
         t->spec.memory_mb, t->spec.gpus, t->spec.est_ms, 0, t->failures > 0,
         false, t->avoid_agent};
 
-    return need;
+    return req;
 }
 
 /* Orders a run of a task; false if no worker has free capacity for it. */
@@ -663,11 +663,11 @@
 place_task(struct coord *c, uint64_t now, struct co_job *j, uint32_t index)
 {
     struct co_task *t = &j->tasks[index];
-    struct fl_requirements need = task_need(j, t);
+    struct fl_requirements req = task_requirements(j, t);
     struct fl_agent *a;
 
-    need.waited_ms = (uint32_t)(now - j->arrived_ms);
-    a = fl_pick(&c->fleet, now, &need);
+    req.waited_ms = (uint32_t)(now - j->arrived_ms);
+    a = fl_pick(&c->fleet, now, &req);
 
     if (a == NULL) {
         return false;
@@ -680,7 +680,7 @@
     j->started = true;
     c->stats.runs++;
     add_run(a, j, index);
-    fl_reserve(a, now, &need);
+    fl_reserve(a, now, &req);
     set_state(c, j, t, CO_DISPATCHED);
     return true;
 }
@@ -727,7 +727,7 @@
 {
     struct fl_agent *a;
     const char *service = NULL;
-    dw_want w = {0, 0, 0, 0};
+    dw_want demand = {0, 0, 0, 0};
 
     if (c->has_new_jobs) {
         c->has_new_jobs = false;
@@ -742,11 +742,11 @@
         /* Agents of one service are mostly adjacent in the list. */
         if (service == NULL || strcmp(service, a->service) != 0) {
             service = a->service;
-            w = qp_demand(c, now, service);
+            demand = qp_demand(c, now, service);
         }
-        report = qp_must_report_demand(a, now, &w);
+        report = qp_must_report_demand(a, now, &demand);
         if (report || a->batch != NULL) {
-            a->demand = w;
+            a->demand = demand;
             a->demand_sent_ms = now;
         }
         if (a->batch != NULL) {
@@ -775,13 +775,13 @@
 
 static bool
 faster_elsewhere(const struct co_task *t, const struct fl_agent *a,
-    uint32_t speed, uint64_t now)
+    uint32_t speed_permille, uint64_t now)
 {
     uint64_t slow_ms =
         (uint64_t)t->spec.est_ms * 1000 / num_max(a->status.pace_permille, 1);
     uint64_t remaining_ms = num_sub_sat(slow_ms, now - t->sent_ms);
     uint64_t elsewhere_ms =
-        (uint64_t)t->spec.est_ms * 1000 / num_max(speed, 1);
+        (uint64_t)t->spec.est_ms * 1000 / num_max(speed_permille, 1);
 
     return remaining_ms * 100 >
            (elsewhere_ms + MOVE_COST_MS) * MOVE_MIN_GAIN_PERCENT;
@@ -793,20 +793,20 @@
     for (uint32_t i = 0; i < j->task_count; i++) {
         struct co_task *t = &j->tasks[i];
         struct fl_agent *a = fl_find(&c->fleet, t->agent);
-        struct fl_requirements need = task_need(j, t);
+        struct fl_requirements req = task_requirements(j, t);
 
-        need.fast_only = true;
-        need.avoid_agent = t->agent;
+        req.fast_only = true;
+        req.avoid_agent = t->agent;
         if (t->state != CO_DISPATCHED || t->moving || a == NULL ||
             a->sess.number != t->session || !fl_is_slow(&c->fleet, a) ||
             !faster_elsewhere(t, a, c->fleet.median_speed_permille, now) ||
-            c->move_budget < (int64_t)need.millicores ||
-            fl_pick(&c->fleet, now, &need) == NULL) {
+            c->move_budget < (int64_t)req.millicores ||
+            fl_pick(&c->fleet, now, &req) == NULL) {
             continue;
         }
         t->moving = true;
         t->avoid_agent = t->agent;
-        c->move_budget -= need.millicores;
+        c->move_budget -= req.millicores;
         c->stats.moved++;
         c->ops->log_run(c->ctx, j, i, "run_moved");
         add_stop(a, j->id, i, t->run);
--- a/coord.h
+++ b/coord.h
@@ -27,6 +27,7 @@
 extern "C" {
 #endif
 
+/* Maximum number of tasks of a job. */
 #define CO_TASKS_MAX 1024U
 /* ms between ticks above which an entry gives up all its jobs: after a longer
  * pause, their callers have sent them to other entries. */
@@ -58,7 +59,8 @@
 /* A caller's request to run a job. */
 struct co_submit {
     uint64_t id;
-    uint64_t wall_ms;    /* first run number: makes them rise across entries */
+    uint64_t wall_ms;    /* wall-clock ms; run numbers start here, so that they
+                          * rise across entries */
     struct str spec;     /* what to run, for the worker */
     const char *service; /* only its workers may run the job */
     uint32_t priority;
@@ -145,6 +147,7 @@
 };
 
 struct co_ops {
+    /* Sends a message to the agent `to`. */
     void (*send)(void *ctx, uint64_t to, const dw_msg *msg);
     /* Answers a caller; its handle is not used again.  reason is one word;
      * retry_ms: ms after which to retry a job that was not run. */
@@ -153,7 +156,7 @@
     /* Log what happens to a job, a run or an agent. */
     void (*log_job)(void *ctx, const struct co_job *job, const char *reason);
     void (*log_refusal)(void *ctx, const struct co_submit *s,
-        const struct es_estimate *g, const char *reason, uint64_t queued_ms);
+        const struct es_estimate *est, const char *reason, uint64_t queued_ms);
     void (*log_run)(void *ctx, const struct co_job *job, uint32_t index,
         const char *event);
     void (*log_agent)(void *ctx, const struct fl_agent *a, const char *event);
@@ -168,12 +171,12 @@
     uint64_t gave_up;
     uint64_t not_run;
     uint64_t caller_left;
-    uint64_t runs; /* ordered */
-    uint64_t lost;
+    uint64_t runs;     /* ordered */
+    uint64_t lost;     /* ended without a result */
     uint64_t rejected; /* returned by an agent without free capacity */
     uint64_t retried;  /* after a failure */
     uint64_t moved;    /* stopped on a slow worker to run on another */
-    uint64_t widened;  /* times that no chosen agent could hold a task */
+    uint64_t widened;  /* times that no selected agent could hold a task */
 };
 
 /* An entry's coordinator. */
@@ -190,7 +193,8 @@
     uint32_t report_interval_ms;   /* between an agent's capacity reports */
     int64_t move_budget; /* millicores that may be moved in this tick */
     uint64_t last_tick_ms;
-    uint64_t last_capacity_ms; /* of the last usable worker, or the start */
+    uint64_t last_capacity_ms; /* when a worker was last usable; at first, the
+                                * start */
     char address[64];          /* at which agents reach this entry */
     uint16_t port;
     struct co_stats stats;
@@ -215,12 +219,13 @@
 void co_agent_dead(struct coord *c, uint64_t now, uint64_t id);
 /* Handles timeouts, slow workers and overload; to be called regularly. */
 void co_tick(struct coord *c, uint64_t now);
-/* Places waiting tasks and sends the collected orders. */
+/* Places waiting tasks, sends the collected orders and reports demand. */
 void co_flush(struct coord *c, uint64_t now);
 
 /* Queries. */
 /* The job is in progress here. */
 bool co_has_job(const struct coord *c, uint64_t id);
+/* Jobs in progress here. */
 size_t co_job_count(const struct coord *c);
 /* Jobs with waiting tasks of which no run has been ordered. */
 size_t co_unstarted_count(const struct coord *c);
--- a/estimate.c
+++ b/estimate.c
@@ -432,22 +432,22 @@
 static bool
 load_line(struct es_table *t, const char *line)
 {
-    struct es_model n = {0};
+    struct es_model parsed = {0};
     unsigned long long jobs;
     char route[ROUTE_MAX];
     struct es_model *m;
 
     if (sscanf(line,
             "1 %llu %lf %lf %lf %lf %lf %lf %lf %lf %lf %lf %199[^\n]", &jobs,
-            &n.run_by_declared.intercept, &n.run_by_declared.slope,
-            &n.run_by_remaining.intercept, &n.run_by_remaining.slope,
-            &n.remaining_by_declared.intercept, &n.remaining_by_declared.slope,
-            &n.remaining_spread_ms, &n.error[ES_DECLARED],
-            &n.error[ES_FROM_DECLARED], &n.error[ES_FROM_DEADLINE],
-            route) != 12) {
+            &parsed.run_by_declared.intercept, &parsed.run_by_declared.slope,
+            &parsed.run_by_remaining.intercept, &parsed.run_by_remaining.slope,
+            &parsed.remaining_by_declared.intercept,
+            &parsed.remaining_by_declared.slope, &parsed.remaining_spread_ms,
+            &parsed.error[ES_DECLARED], &parsed.error[ES_FROM_DECLARED],
+            &parsed.error[ES_FROM_DEADLINE], route) != 12) {
         return false;
     }
-    if (!is_valid_model(&n)) {
+    if (!is_valid_model(&parsed)) {
         return false;
     }
     m = es_model_of(t, route);
@@ -455,11 +455,11 @@
         return true;
     }
     m->jobs = jobs;
-    m->run_by_declared = n.run_by_declared;
-    m->run_by_remaining = n.run_by_remaining;
-    m->remaining_by_declared = n.remaining_by_declared;
-    m->remaining_spread_ms = n.remaining_spread_ms;
-    memcpy(m->error, n.error, sizeof(m->error));
+    m->run_by_declared = parsed.run_by_declared;
+    m->run_by_remaining = parsed.run_by_remaining;
+    m->remaining_by_declared = parsed.remaining_by_declared;
+    m->remaining_spread_ms = parsed.remaining_spread_ms;
+    memcpy(m->error, parsed.error, sizeof(m->error));
     return true;
 }
 
--- a/estimate.h
+++ b/estimate.h
@@ -39,7 +39,8 @@
 
 /* A route's objective for the time to the answer. */
 struct es_objective {
-    uint32_t stretch_milli; /* thousandths of the longest chain of work */
+    uint32_t stretch_milli; /* factor on the longest chain of work, in
+                             * thousandths */
     uint32_t slo_ms;        /* added to the stretched work */
 };
 
@@ -61,6 +62,7 @@
     uint32_t run_ms; /* of its longest task, measured, at usual speed */
 };
 
+/* y = intercept + slope * x. */
 struct es_line {
     double intercept;
     double slope;
@@ -89,7 +91,8 @@
     struct es_model *models;
     uint64_t jobs_learned; /* by this process */
     uint64_t jobs_saved;   /* jobs_learned at the last save */
-    uint64_t saved_ms;     /* time of the last save; 0: not started */
+    uint64_t saved_ms;     /* time of the last save, at first that of the first
+                            * es_save_due(); 0: not called yet */
     uint64_t save_interval_ms;
 };
 
--- a/fleet.c
+++ b/fleet.c
@@ -278,8 +278,8 @@
 void
 fl_deselect(struct fl_agent *a, uint64_t now)
 {
-    /* Not selected again before FL_RETRY_MS: it would still be draining, and
-     * the session would be closed and opened repeatedly. */
+    /* Not selected again for FL_RETRY_MS - FL_NO_REPLY_MS: it would still be
+     * draining, and the session would be closed and opened repeatedly. */
     if (a->status.draining) {
         a->selected_ms = now - FL_NO_REPLY_MS - 1;
     }
--- a/fleet.h
+++ b/fleet.h
@@ -43,8 +43,9 @@
 #define FL_RECOVERY_MS 1000U
 /* ms between selections. */
 #define FL_SELECT_INTERVAL_MS 200U
-/* ms without a reply after which an agent is replaced by another, and ms after
- * which it may be selected again. */
+/* ms without an open session after which a selected agent is replaced by
+ * another, and ms, counted from the same time, after which it may be selected
+ * again. */
 #define FL_NO_REPLY_MS 2000U
 #define FL_RETRY_MS 12000U
 
@@ -68,8 +69,9 @@
     bool session_open;
     bool withdrawn;       /* its failure domain is */
     bool selected;        /* this entry keeps a session with it */
-    uint64_t selected_ms; /* when selected; kept while an agent that did not
-                           * reply waits to be retried; 0: not selected */
+    uint64_t selected_ms; /* when selected, or last seen with an open session;
+                           * kept while an agent that did not reply waits to be
+                           * retried; 0: not selected */
     struct sess sess;
     uint64_t opened_ms;    /* when the session's number was assigned */
     uint64_t closed_ms;    /* since when the session is not open; 0: it is */
@@ -80,14 +82,14 @@
                                  * and the batch; may be negative */
     int64_t free_memory_mb;
     int64_t free_gpus;
-    uint64_t run_sent_ms;   /* last run that was sent */
-    uint32_t active_runs;   /* of this entry, waiting or running there */
-    uint32_t fail_permille; /* of this entry's recent runs there */
-    uint64_t probation_until_ms;
+    uint64_t run_sent_ms;        /* last run that was sent */
+    uint32_t active_runs;        /* of this entry, waiting or running there */
+    uint32_t fail_permille;      /* of this entry's recent runs there */
+    uint64_t probation_until_ms; /* no run is sent until then */
     uint32_t probation_ms;   /* length of the last probation; 0: none since a
                               * run succeeded */
     dw_want demand;          /* unplaced work, as last sent to the agent */
-    uint64_t demand_sent_ms; /* when */
+    uint64_t demand_sent_ms; /* when it was sent */
     dw_msg *batch;           /* orders collected since the last flush */
     uint64_t batch_millicores;
     uint64_t batch_memory_mb;
@@ -119,7 +121,8 @@
     uint32_t waited_ms;   /* since the job arrived */
     bool failed;          /* an earlier run of the task failed */
     bool fast_only;       /* exclude slow workers and avoid_agent */
-    uint64_t avoid_agent; /* an earlier run failed there; 0: none */
+    uint64_t avoid_agent; /* an earlier run failed or was slow there; 0:
+                           * none */
 };
 
 /* Totals over the workers of a service, in millicores. */
--- a/intake.h
+++ b/intake.h
@@ -35,9 +35,9 @@
     size_t count;
     double start_cost_us;   /* mean time to start a request, recently */
     double other_cost_us;   /* mean time of the rest of a pass, recently */
-    uint64_t pass_start_us; /* of the starts in this pass; 0: not yet */
-    uint64_t dequeued_us;   /* of the last start in this pass; 0: none */
-    uint64_t pass_end_us;   /* of the starts in the pass before */
+    uint64_t pass_start_us; /* first start in this pass; 0: not yet */
+    uint64_t dequeued_us;   /* start of the last request; 0: none or refused */
+    uint64_t pass_end_us;   /* end of the starts in the pass before; 0: none */
 };
 
 /* What to do next in a pass. */
@@ -59,6 +59,7 @@
 enum it_action it_next(struct intake *t, uint64_t now_us, void **handle);
 
 /* Queries. */
+/* Requests that wait here. */
 size_t it_count(const struct intake *t);
 /* us that a request which arrives now is expected to wait. */
 double it_expected_wait_us(const struct intake *t);
--- a/lag.c
+++ b/lag.c
@@ -96,15 +96,15 @@
 static bool
 may_return(const struct lag *l, uint64_t now_us)
 {
-    uint64_t out = now_us - l->rotation_changed_us;
+    uint64_t out_us = now_us - l->rotation_changed_us;
 
     if (!l->removed_slow) {
-        return out >= OUT_MIN_US;
+        return out_us >= OUT_MIN_US;
     }
-    if (out < OUT_MIN_US || l->utilization > CAUGHT_UP) {
+    if (out_us < OUT_MIN_US || l->utilization > CAUGHT_UP) {
         return false;
     }
-    return out > OUT_MAX_US || l->recent_us < USUAL_FACTOR * l->baseline_us;
+    return out_us > OUT_MAX_US || l->recent_us < USUAL_FACTOR * l->baseline_us;
 }
 
 static void
--- a/lag.h
+++ b/lag.h
@@ -46,9 +46,12 @@
  * of changed capacity. */
 #define LG_REPORT_INTERVAL_MAX_MS 100U
 
+/* A pass of the event loop starts, or ends.  At its end the process may leave
+ * the rotation or return. */
 void lg_pass_start(struct lag *l, uint64_t now_us);
 void lg_pass_end(struct lag *l, uint64_t now_us);
-/* Records that a regular piece of work took took_us for so many items. */
+/* Records that a regular piece of work took took_us in total for a number of
+ * items. */
 void lg_record_probe(
     struct lag *l, uint64_t now_us, uint64_t took_us, size_t items);
 
--- a/opstate.h
+++ b/opstate.h
@@ -19,6 +19,7 @@
 extern "C" {
 #endif
 
+/* Withdrawn failure domains; any beyond are not recorded. */
 #define OST_DOMAINS_MAX 64U
 /* ms without the store until other entries are queried, and between queries: a
  * change must be in force within 2 s. */
@@ -36,29 +37,30 @@
     uint64_t requested_ms;  /* last request to other entries */
 };
 
-void ost_free(struct opstate *n);
+void ost_free(struct opstate *s);
 /* Sets the configuration of a revision. */
-void ost_set_config(struct opstate *n, struct str text, uint64_t rev);
+void ost_set_config(struct opstate *s, struct str text, uint64_t rev);
 /* Marks a failure domain as withdrawn, or as back in service, at a revision.
  */
 void ost_set_domain(
-    struct opstate *n, const char *domain, bool withdrawn, uint64_t rev);
+    struct opstate *s, const char *domain, bool withdrawn, uint64_t rev);
 /* Marks no domain as withdrawn, before a complete snapshot is entered. */
-void ost_clear_domains(struct opstate *n);
+void ost_clear_domains(struct opstate *s);
 /* All changes up to this revision have been entered. */
-void ost_set_known_rev(struct opstate *n, uint64_t rev);
+void ost_set_known_rev(struct opstate *s, uint64_t rev);
 /* Notes whether the store answers. */
-void ost_set_store_state(struct opstate *n, uint64_t now, bool up);
+void ost_set_store_state(struct opstate *s, uint64_t now, bool up);
 /* True if other entries should be queried now, as the store has not answered
  * for OST_REQUEST_MS; counts them as queried. */
-bool ost_request_due(struct opstate *n, uint64_t now);
+bool ost_request_due(struct opstate *s, uint64_t now);
 /* Fills in a request to another entry. */
-void ost_make_request(const struct opstate *n, dw_msg *out);
-/* Fills in the reply to a request; false if this entry has nothing newer. */
+void ost_make_request(const struct opstate *s, dw_msg *out);
+/* Fills in the reply to a request; false if this entry has no configuration or
+ * nothing newer. */
 bool ost_make_reply(
-    const struct opstate *n, const dw_news *request, dw_msg *out);
+    const struct opstate *s, const dw_news *request, dw_msg *out);
 /* Replaces the state by that of a reply; false if the reply is not newer. */
-bool ost_apply_reply(struct opstate *n, const dw_news *reply);
+bool ost_apply_reply(struct opstate *s, const dw_news *reply);
 
 #ifdef __cplusplus
 }
--- a/qpolicy.c
+++ b/qpolicy.c
@@ -109,18 +109,18 @@
 }
 
 void
-qp_record_job(uint64_t now, struct co_job *j, const struct es_estimate *g)
+qp_record_job(uint64_t now, struct co_job *j, const struct es_estimate *est)
 {
     struct co_service_load *l = j->load;
     double work;
 
-    j->slack_ms = (uint32_t)num_sub_sat(g->objective_ms, g->run_ms);
+    j->slack_ms = (uint32_t)num_sub_sat(est->objective_ms, est->run_ms);
     if (j->slack_ms == 0) {
-        return; /* late already: placed after jobs that are on time */
+        return; /* late already: it delays no job that is on time */
     }
     work = waiting_tasks(j).work;
     sl_record(&l->slack, now, j->slack_ms, work);
-    in_record(&l->inflow, now, g->objective_ms, work);
+    in_record(&l->inflow, now, est->objective_ms, work);
 }
 
 /* --- load shedding --- */
@@ -141,17 +141,18 @@
     const struct coord *c, uint64_t now, const struct co_service_load *l)
 {
     struct backlog backlog = {{0, 0, 0, 0}, 0, 0, 0};
-    uint32_t least = 0;
+    uint32_t smallest_task = 0;
     const struct co_job *j;
 
     for (j = c->queue; j != NULL; j = j->next) {
         uint32_t smallest = j->load == l ? waiting_tasks(j).smallest : 0;
 
-        if (smallest != 0 && (least == 0 || smallest < least)) {
-            least = smallest;
+        if (smallest != 0 &&
+            (smallest_task == 0 || smallest < smallest_task)) {
+            smallest_task = smallest;
         }
     }
-    backlog.sum = fl_total(&c->fleet, now, l->service, least);
+    backlog.sum = fl_total(&c->fleet, now, l->service, smallest_task);
     backlog.cores = (double)l->dispatched_millicores * backlog.sum.mean_pace +
                     (double)backlog.sum.free + (double)backlog.sum.recovering;
     backlog.cores =
@@ -202,20 +203,20 @@
     const struct backlog *backlog, uint64_t now, const struct co_job *j)
 {
     double wait = wait_ms(backlog, now, j);
-    double done = (double)(now + co_fastest_ms(j)) + wait;
+    double end_ms = (double)(now + co_fastest_ms(j)) + wait;
 
     switch (qp_class_of(j, now)) {
     case QP_STARTED:
         return false;
     case QP_STALE:
-        return done > (double)j->deadline_ms ||
+        return end_ms > (double)j->deadline_ms ||
                !fits_with_reserve(backlog, now, j);
     case QP_ON_TIME:
     case QP_LATE:
     case QP_COUNT:
         break;
     }
-    return done > (double)num_min(j->deadline_ms, j->useful_until_ms);
+    return end_ms > (double)num_min(j->deadline_ms, j->useful_until_ms);
 }
 
 /* Refuses jobs of one class and adds the others to the work ahead. */
@@ -290,7 +291,7 @@
 /* --- demand reported to agents --- */
 
 static void
-add_demand(dw_want *w, const struct co_job *j, bool urgent)
+add_demand(dw_want *demand, const struct co_job *j, bool urgent)
 {
     for (uint32_t i = 0; i < j->task_count; i++) {
         const struct co_task *t = &j->tasks[i];
@@ -298,14 +299,14 @@
         if (t->state != CO_WAITING) {
             continue;
         }
-        w->least = w->least == 0
-                       ? t->spec.millicores
-                       : (uint32_t)num_min(w->least, t->spec.millicores);
+        demand->least = demand->least == 0 ? t->spec.millicores
+                                           : (uint32_t)num_min(demand->least,
+                                                 t->spec.millicores);
         if (urgent) {
-            w->urgent += t->spec.millicores;
+            demand->urgent += t->spec.millicores;
         }
         else {
-            w->late += t->spec.millicores;
+            demand->late += t->spec.millicores;
         }
     }
 }
@@ -313,7 +314,7 @@
 dw_want
 qp_demand(struct coord *c, uint64_t now, const char *service)
 {
-    dw_want w = {0, 0, 0, c->report_interval_ms};
+    dw_want demand = {0, 0, 0, c->report_interval_ms};
     struct qp_capacity capacity = {0};
     const struct co_job *j;
 
@@ -323,10 +324,10 @@
         }
         qp_update_capacity(&capacity, c, now, j);
         if (!qp_must_hold_back(&capacity, now, j)) {
-            add_demand(&w, j, qp_class_of(j, now) <= QP_ON_TIME);
+            add_demand(&demand, j, qp_class_of(j, now) <= QP_ON_TIME);
         }
     }
-    return w;
+    return demand;
 }
 
 /* One is more than twice the other. */
@@ -339,18 +340,19 @@
 /* Agents must learn soon that demand appears or disappears, and less urgently
  * how much it is. */
 bool
-qp_must_report_demand(const struct fl_agent *a, uint64_t now, const dw_want *w)
+qp_must_report_demand(
+    const struct fl_agent *a, uint64_t now, const dw_want *demand)
 {
     if (!a->session_open) {
         return false;
     }
-    if ((a->demand.urgent == 0) != (w->urgent == 0) ||
-        (a->demand.late == 0) != (w->late == 0)) {
+    if ((a->demand.urgent == 0) != (demand->urgent == 0) ||
+        (a->demand.late == 0) != (demand->late == 0)) {
         return now - a->demand_sent_ms >= DEMAND_CHANGE_MS;
     }
     return now - a->demand_sent_ms >= DEMAND_AMOUNT_MS &&
-           (differs_twofold(a->demand.urgent, w->urgent) ||
-               differs_twofold(a->demand.pause_ms, w->pause_ms) ||
-               differs_twofold(a->demand.late, w->late) ||
-               a->demand.least != w->least);
+           (differs_twofold(a->demand.urgent, demand->urgent) ||
+               differs_twofold(a->demand.pause_ms, demand->pause_ms) ||
+               differs_twofold(a->demand.late, demand->late) ||
+               a->demand.least != demand->least);
 }
--- a/qpolicy.h
+++ b/qpolicy.h
@@ -47,10 +47,10 @@
 bool qp_must_hold_back(
     const struct qp_capacity *capacity, uint64_t now, const struct co_job *j);
 
-/* Records the slack and work of an admitted job with estimate g, to predict
+/* Records the slack and work of an admitted job with estimate est, to predict
  * what will arrive. */
 void qp_record_job(
-    uint64_t now, struct co_job *j, const struct es_estimate *g);
+    uint64_t now, struct co_job *j, const struct es_estimate *est);
 
 /* Refuses the jobs that cannot be served in time. */
 void qp_shed(struct coord *c, uint64_t now);
@@ -61,9 +61,9 @@
 
 /* The unplaced work of one service, without jobs that are held back. */
 dw_want qp_demand(struct coord *c, uint64_t now, const char *service);
-/* Demand w must be reported to the agent now. */
+/* The demand must be reported to the agent now. */
 bool qp_must_report_demand(
-    const struct fl_agent *a, uint64_t now, const dw_want *w);
+    const struct fl_agent *a, uint64_t now, const dw_want *demand);
 
 #ifdef __cplusplus
 }
--- a/relay.c
+++ b/relay.c
@@ -6,8 +6,9 @@
 
 #include "num.h"
 
-/* ms after the end of its session until an origin is removed; messages of that
- * session are too old to be accepted long before. */
+/* ms after the end of its session until an origin and its newest session
+ * number are forgotten; messages of that session are too old to be accepted
+ * long before. */
 #define FORGET_MS 60000U
 /* Processor use that a forwarded request is assumed to add to its peer until
  * the peer's next report. */
@@ -25,7 +26,7 @@
     [CO_NOT_RUN] = DW_HOW_NOT_RUN,
 };
 
-/* Of an unknown code nothing is known, so the request may have run. */
+/* An unknown code does not rule out that the request has run. */
 static enum co_outcome
 outcome_of(dw_how code)
 {
@@ -68,10 +69,10 @@
  * they have not. */
 static void
 end_peer_session(
-    struct relay *r, uint64_t now, struct rl_peer *p, const char *why)
+    struct relay *r, uint64_t now, struct rl_peer *p, const char *reason)
 {
     if (p->session_open) {
-        r->ops->note(r->ctx, p->id, why, now - p->sess.peer_clock_at_ms);
+        r->ops->note(r->ctx, p->id, reason, now - p->sess.peer_clock_at_ms);
     }
     p->session_open = false;
     p->accepting = false;
@@ -335,16 +336,16 @@
 next_candidate(const struct relay *r, uint64_t now)
 {
     struct rl_peer *best = NULL;
-    uint64_t least = 0;
+    uint64_t least_hash = 0;
     struct rl_peer *p;
 
     for (p = r->peers; p != NULL; p = p->hh.next) {
         uint64_t hash = mix64(r->self, p->id);
 
         if (!p->selected && now >= p->retry_at_ms &&
-            (best == NULL || hash < least)) {
+            (best == NULL || hash < least_hash)) {
             best = p;
-            least = hash;
+            least_hash = hash;
         }
     }
     return best;
@@ -390,10 +391,10 @@
 
 static void
 end_origin_session(
-    struct relay *r, uint64_t now, struct rl_origin *o, const char *why)
+    struct relay *r, uint64_t now, struct rl_origin *o, const char *reason)
 {
     if (o->session_open) {
-        r->ops->note(r->ctx, o->id, why, now - o->sess.own_clock_echo_ms);
+        r->ops->note(r->ctx, o->id, reason, now - o->sess.own_clock_echo_ms);
     }
     o->session_open = false;
     o->ended_ms = now;
--- a/route.h
+++ b/route.h
@@ -25,7 +25,8 @@
     char *service;          /* run by the workers that serve it */
     uint32_t timeout_ms;    /* read from the configuration, otherwise unused */
     uint32_t slo_ms;        /* objective: added to the stretched work */
-    uint32_t stretch_milli; /* thousandths of the longest chain of work */
+    uint32_t stretch_milli; /* factor on the longest chain of work, in
+                             * thousandths */
     uint32_t priority;      /* 0 comes first */
     uint32_t attempts;      /* failed runs of a task after which it fails */
 };
--- a/sess.h
+++ b/sess.h
@@ -56,6 +56,7 @@
     struct sess_item **tail;
 };
 
+/* Prepares the structure; there is no session yet. */
 void sess_init(struct sess *s);
 /* Discards unacknowledged messages and starts a new session. */
 void sess_begin(struct sess *s, uint64_t number);
@@ -67,10 +68,11 @@
 /* Fills in the head of a message that must be delivered and keeps it, as its
  * owner, until it is acknowledged; the caller sends it at once. */
 void sess_enqueue(struct sess *s, uint64_t now, dw_msg *msg);
-/* The next message to send again, after msg or (NULL) the first, with an
- * updated head; NULL if there is none. */
+/* The next message to send again, with an updated head: after msg or, if msg
+ * is NULL, the oldest one if it is due.  NULL if there is none. */
 dw_msg *sess_next_resend(struct sess *s, uint64_t now, const dw_msg *msg);
-/* Sends all messages that are due again to the process `to`. */
+/* If the oldest unacknowledged message is due, sends it and all later ones
+ * again to the process `to`. */
 void sess_resend(struct sess *s, uint64_t now, uint64_t to,
     void (*send)(void *ctx, uint64_t to, const dw_msg *msg), void *ctx);
 /* Processes the head of a received message; the verdict says what to do with
@@ -81,6 +83,7 @@
 /* Queries. */
 /* The peer was certainly alive within the lease. */
 bool sess_live(const struct sess *s, uint64_t now);
+/* Nothing was sent for SESS_HEARTBEAT_MS. */
 bool sess_heartbeat_due(const struct sess *s, uint64_t now);
 /* The time from which the peer acts on no message sent so far. */
 uint64_t sess_peer_expiry_ms(const struct sess *s);
--- a/slack.c
+++ b/slack.c
@@ -20,27 +20,27 @@
 }
 
 void
-sl_record(struct sl_histogram *m, uint64_t now, uint32_t slack_ms, double work)
+sl_record(struct sl_histogram *h, uint64_t now, uint32_t slack_ms, double work)
 {
-    double decay_factor = exp2(-(double)(now - m->decayed_ms) / HALF_LIFE_MS);
+    double decay_factor = exp2(-(double)(now - h->decayed_ms) / HALF_LIFE_MS);
 
     for (uint32_t b = 0; b < SL_BUCKETS; b++) {
-        m->work[b] *= decay_factor;
+        h->work[b] *= decay_factor;
     }
-    m->decayed_ms = now;
-    m->work[bucket_of(slack_ms)] += work;
+    h->decayed_ms = now;
+    h->work[bucket_of(slack_ms)] += work;
 }
 
 double
-sl_more_urgent_share(const struct sl_histogram *m, uint32_t slack_ms)
+sl_more_urgent_share(const struct sl_histogram *h, uint32_t slack_ms)
 {
     uint32_t own = bucket_of(slack_ms);
     double more_urgent = 0;
     double total = 0;
 
     for (uint32_t b = 0; b < SL_BUCKETS; b++) {
-        total += m->work[b];
-        more_urgent += b < own ? m->work[b] : 0;
+        total += h->work[b];
+        more_urgent += b < own ? h->work[b] : 0;
     }
     return total > 0 ? more_urgent / total : 0;
 }
--- a/slack.h
+++ b/slack.h
@@ -31,11 +31,11 @@
 /* Records the arrival of a job that can wait for slack_ms and takes work (in
  * any unit). */
 void sl_record(
-    struct sl_histogram *m, uint64_t now, uint32_t slack_ms, double work);
+    struct sl_histogram *h, uint64_t now, uint32_t slack_ms, double work);
 
 /* The share, 0 to 1, of recent work with less slack than slack_ms: that in the
  * buckets below its own. */
-double sl_more_urgent_share(const struct sl_histogram *m, uint32_t slack_ms);
+double sl_more_urgent_share(const struct sl_histogram *h, uint32_t slack_ms);
 
 #ifdef __cplusplus
 }
--- a/test/coord-test.cc
+++ b/test/coord-test.cc
@@ -12,7 +12,7 @@
 struct Callers {
     std::vector<std::pair<void *, co_outcome>> answers;
     std::vector<std::string> reasons;
-    std::set<uint32_t> retries; /* ms */
+    std::set<uint32_t> retry_times; /* ms */
     std::vector<dw_msg *> sent;
 
     ~Callers()
@@ -36,7 +36,7 @@
     static_cast<Callers *>(ctx)->answers.push_back({handle, outcome});
     static_cast<Callers *>(ctx)->reasons.push_back(reason);
     if (outcome == CO_NOT_RUN) {
-        static_cast<Callers *>(ctx)->retries.insert(retry_ms);
+        static_cast<Callers *>(ctx)->retry_times.insert(retry_ms);
     }
 }
 
@@ -69,7 +69,7 @@
     coord c;
     Callers callers;
     uint64_t now = 1000;
-    uint64_t ends = 0;
+    uint64_t report_seq = 0;
 
     Entry()
     {
@@ -90,7 +90,7 @@
         return fl_find(&c.fleet, 3);
     }
     void
-    report(std::vector<dw_run_end> list)
+    report(std::vector<dw_run_end> outcomes)
     {
         dw_report r = {};
 
@@ -98,7 +98,7 @@
         r.head.clock_ms = now;
         r.head.echo_ms = now;
         r.head.ack = agent()->sess.send_seq;
-        r.head.seq = list.empty() ? 0 : ++ends;
+        r.head.seq = outcomes.empty() ? 0 : ++report_seq;
         r.room.serving = true;
         r.room.left_ms = UINT32_MAX;
         r.room.speed_permille = 1000;
@@ -107,8 +107,8 @@
         r.room.memory_mb = 1000;
         r.room.free_millicores = 10000;
         r.room.free_memory_mb = 1000;
-        r.ends.ends_val = list.data();
-        r.ends.ends_len = (u_int)list.size();
+        r.ends.ends_val = outcomes.data();
+        r.ends.ends_len = (u_int)outcomes.size();
         co_report(&c, now, 3, &r);
         co_flush(&c, now);
     }
@@ -116,14 +116,14 @@
     void
     set_free(int millicores)
     {
-        dw_room r = agent()->status;
+        dw_room status = agent()->status;
 
-        r.free_millicores = millicores;
-        fl_update_status(agent(), agent()->sess.send_seq, &r);
+        status.free_millicores = millicores;
+        fl_update_status(agent(), agent()->sess.send_seq, &status);
     }
     void
     submit(uint64_t id, size_t count, void *handle, uint32_t timeout_ms = 1500,
-        uint32_t run_ms = 100, uint32_t stretch = 1000)
+        uint32_t run_ms = 100, uint32_t stretch_milli = 1000)
     {
         std::vector<co_task_spec> tasks(count, {1000, 10, 0, run_ms});
         struct co_submit s = {};
@@ -134,7 +134,7 @@
         s.service = "s";
         s.max_attempts = 2;
         s.route_name = "r";
-        s.route = {stretch, 100}; /* an objective of 200 ms */
+        s.route = {stretch_milli, 100}; /* an objective of 200 ms */
         s.timeout_ms = timeout_ms;
         s.tasks = tasks.data();
         s.task_count = count;
@@ -252,10 +252,10 @@
 
     e.submit(5, 1, &caller, 9000);
     uint64_t first = e.run_of(5);
-    uint64_t over = sess_peer_expiry_ms(&e.agent()->sess) + RN_STOP_LIMIT_MS +
-                    RN_LEASE_EXPIRY_MS;
+    uint64_t ended_ms = sess_peer_expiry_ms(&e.agent()->sess) +
+                        RN_STOP_LIMIT_MS + RN_LEASE_EXPIRY_MS;
 
-    while (e.now + 20 < over) {
+    while (e.now + 20 < ended_ms) {
         e.now += 20;
         co_tick(&e.c, e.now);
         if (e.agent()->sess.number != 0 && !e.agent()->session_open) {
@@ -263,7 +263,7 @@
         }
         EXPECT_EQ(e.run_of(5), first) << e.now;
     }
-    e.now = over + 20;
+    e.now = ended_ms + 20;
     co_tick(&e.c, e.now);
     e.report({});
     co_tick(&e.c, e.now);
@@ -288,7 +288,7 @@
 {
     Entry e;
     int late;
-    int fresh;
+    int on_time;
 
     fl_update_status(e.agent(), e.agent()->sess.send_seq, &e.agent()->status);
     e.agent()->status.free_millicores = 0;
@@ -296,7 +296,7 @@
     e.submit(1, 1, &late);
     e.now += 150; /* 50 of 200 ms left for 100 ms of work: late */
     e.agent()->sess.own_clock_echo_ms = e.now;
-    e.submit(2, 1, &fresh);
+    e.submit(2, 1, &on_time);
     EXPECT_EQ(e.c.stats.runs, 0u);
     e.agent()->status.free_millicores = 1000;
     fl_update_status(e.agent(), e.agent()->sess.send_seq, &e.agent()->status);
@@ -331,9 +331,10 @@
     EXPECT_EQ(e.run_of(5), 52u);
 }
 
-/* The only worker that could hold a task may not be among the chosen ones: the
- * task waits until all agents have been asked, and is refused only then. */
-TEST(Coord, NeverFitsOnlyAfterAllAgentsWereAsked)
+/* The only worker that could hold a task may not be among the selected: all
+ * agents are selected first, and a task is refused only if none of them can
+ * hold it. */
+TEST(Coord, NeverFitsOnlyAfterAllAgentsWereSelected)
 {
     Entry e;
 
@@ -459,14 +460,15 @@
         e.submit(id, 1, &caller);
     }
     ASSERT_GT(e.callers.answers.size(), 40u);
-    EXPECT_GT(e.callers.retries.size(), 20u);
-    EXPECT_GE(*e.callers.retries.begin(), 500u);
-    EXPECT_GT(*e.callers.retries.rbegin(),
-        *e.callers.retries.begin() + *e.callers.retries.begin() / 2);
+    EXPECT_GT(e.callers.retry_times.size(), 20u);
+    EXPECT_GE(*e.callers.retry_times.begin(), 500u);
+    EXPECT_GT(*e.callers.retry_times.rbegin(),
+        *e.callers.retry_times.begin() + *e.callers.retry_times.begin() / 2);
 }
 
 /* A fleet recovers from a power loss: one worker of eleven has answered, the
- * others are known from the store.  Work beyond the one's capacity is kept. */
+ * others are known from the store.  Work that exceeds this one's capacity is
+ * kept. */
 TEST(Coord, ReturningWorkersCountAsCapacity)
 {
     Entry e;
--- a/test/estimate-test.cc
+++ b/test/estimate-test.cc
@@ -18,9 +18,9 @@
     es_table table = {};
     es_model *m = es_model_of(&table, "r");
     std::mt19937_64 rng{7};
-    double declared = 1;       /* over the true run time */
+    double declared = 1;       /* factor on the true run time */
     double declared_sigma = 0; /* of its logarithm */
-    std::function<double(double)> patience = [](double) { return 5000; };
+    std::function<double(double)> timeout = [](double) { return 5000; };
 
     ~Jobs()
     {
@@ -36,7 +36,7 @@
     {
         *run = 200 * exp(0.4 * normal());
         return {(uint32_t)(*run * declared * exp(declared_sigma * normal())),
-            (uint32_t)patience(*run)};
+            (uint32_t)timeout(*run)};
     }
     void
     learn(int n)
@@ -66,14 +66,14 @@
 };
 
 double
-by_work(double run)
+timeout_by_work(double run)
 {
     return 1500 + 3 * (1.6 * run + 60);
 }
 
 } // namespace
 
-TEST(Guess, WithoutSamplesTheDeclaredTimeIsUsed)
+TEST(Estimate, WithoutSamplesTheDeclaredTimeIsUsed)
 {
     Jobs j;
     es_input input = {100, 900};
@@ -91,7 +91,7 @@
     const char *what;
     double declared;
     double declared_sigma;
-    std::function<double(double)> patience;
+    std::function<double(double)> timeout;
     es_method expected;
     double error_below;
 } cases[] = {
@@ -99,20 +99,20 @@
         0.06},
     {"declared twice as long", 2, 0.1, [](double) { return 5000.0; },
         ES_FROM_DECLARED, 0.12},
-    {"declared at random, deadlines by work", 1, 0.5, by_work,
+    {"declared at random, deadlines by work", 1, 0.5, timeout_by_work,
         ES_FROM_DEADLINE, 0.05},
     {"declared at random, equal deadlines", 1, 0.5,
         [](double) { return 5000.0; }, ES_FROM_DECLARED, 0.32},
 };
 
-TEST(Guess, TheMethodWithTheLeastErrorIsUsed)
+TEST(Estimate, TheMethodWithTheLeastErrorIsUsed)
 {
     for (auto &c : cases) {
         Jobs j;
 
         j.declared = c.declared;
         j.declared_sigma = c.declared_sigma;
-        j.patience = c.patience;
+        j.timeout = c.timeout;
         j.learn(200);
         if (c.expected != ES_DECLARED) {
             EXPECT_EQ(es_best_method(j.m), c.expected) << c.what;
@@ -123,15 +123,15 @@
 
 /* Callers no longer set deadlines by their work: within some dozens of jobs
  * the deadline must no longer be used. */
-TEST(Guess, AMethodThatStopsWorkingIsAbandoned)
+TEST(Estimate, AMethodThatStopsWorkingIsAbandoned)
 {
     Jobs j;
 
     j.declared_sigma = 0.3;
-    j.patience = by_work;
+    j.timeout = timeout_by_work;
     j.learn(200);
     ASSERT_EQ(es_best_method(j.m), ES_FROM_DEADLINE);
-    j.patience = [](double) { return 900.0; };
+    j.timeout = [](double) { return 900.0; };
     j.learn(100);
     EXPECT_NE(es_best_method(j.m), ES_FROM_DEADLINE);
     EXPECT_LT(j.error(), 0.3);
@@ -140,34 +140,36 @@
 /* After a power failure the requests of several seconds arrive at once, new
  * ones together with those sent again.  The objective of a request that was
  * sent again has passed, however the route's callers set their deadlines. */
-TEST(Guess, TheObjectiveOfARequestSentAgainHasPassed)
+TEST(Estimate, TheObjectiveOfARequestSentAgainHasPassed)
 {
-    const std::function<double(double)> patiences[] = {
-        by_work, [](double) { return 5000.0; }};
+    const std::function<double(double)> timeouts[] = {
+        timeout_by_work, [](double) { return 5000.0; }};
 
-    for (auto &patience : patiences) {
+    for (auto &timeout : timeouts) {
         Jobs j;
-        es_input first = {200, (uint32_t)patience(200)};
-        es_input again = {200, first.remaining_ms - 1300};
+        es_input first = {200, (uint32_t)timeout(200)};
+        es_input repeated = {200, first.remaining_ms - 1300};
 
         j.declared_sigma = 0.3;
-        j.patience = patience;
+        j.timeout = timeout;
         j.learn(200);
         EXPECT_GT(es_estimate_job(j.m, &objective, &first).objective_ms, 250u);
-        EXPECT_EQ(es_estimate_job(j.m, &objective, &again).objective_ms, 0u);
-        EXPECT_NEAR(es_estimate_job(j.m, &objective, &again).run_ms, 200, 60);
+        EXPECT_EQ(
+            es_estimate_job(j.m, &objective, &repeated).objective_ms, 0u);
+        EXPECT_NEAR(
+            es_estimate_job(j.m, &objective, &repeated).run_ms, 200, 60);
     }
 }
 
 /* A short job that was declared far too long has a short deadline; it must not
  * be mistaken for a request sent again. */
-TEST(Guess, AShortJobWithAShortDeadlineIsNotARepeat)
+TEST(Estimate, AShortJobWithAShortDeadlineIsNotARepeat)
 {
     Jobs j;
     int late = 0;
 
     j.declared_sigma = 0.4;
-    j.patience = by_work;
+    j.timeout = timeout_by_work;
     j.learn(200);
     for (int i = 0; i < 1000; i++) {
         double run;
@@ -178,7 +180,7 @@
     EXPECT_LT(late, 10);
 }
 
-TEST(Guess, OutliersDoNotAffectTheLines)
+TEST(Estimate, OutliersDoNotAffectTheLines)
 {
     Jobs j;
 
@@ -193,7 +195,7 @@
     EXPECT_LT(j.error(), 0.15);
 }
 
-TEST(Guess, SavedModelsAreLoadedByAnotherProcess)
+TEST(Estimate, SavedModelsAreLoadedByAnotherProcess)
 {
     Jobs before;
     Jobs after;
@@ -219,7 +221,7 @@
     "\x01\x02",
 };
 
-TEST(Guess, MalformedModelsAreIgnored)
+TEST(Estimate, MalformedModelsAreIgnored)
 {
     for (auto &text : malformed) {
         Jobs j;
@@ -233,7 +235,7 @@
 
 /* Models are saved soon, so that an early power failure loses little, then at
  * growing intervals, to limit the load on the store. */
-TEST(Guess, SaveIntervalsGrow)
+TEST(Estimate, SaveIntervalsGrow)
 {
     Jobs j;
     int saves = 0;
--- a/test/fleet-test.cc
+++ b/test/fleet-test.cc
@@ -32,24 +32,24 @@
     void
     set_capacity(uint64_t id, int free, uint32_t pace)
     {
-        dw_room r = {};
-
-        r.serving = true;
-        r.left_ms = UINT32_MAX;
-        r.millicores = 10000;
-        r.memory_mb = 100;
-        r.free_millicores = free;
-        r.free_memory_mb = 100;
-        r.speed_permille = 1000;
-        r.pace_permille = pace;
-        fl_update_status(fl_find(&f, id), 0, &r);
+        dw_room status = {};
+
+        status.serving = true;
+        status.left_ms = UINT32_MAX;
+        status.millicores = 10000;
+        status.memory_mb = 100;
+        status.free_millicores = free;
+        status.free_memory_mb = 100;
+        status.speed_permille = 1000;
+        status.pace_permille = pace;
+        fl_update_status(fl_find(&f, id), 0, &status);
     }
     uint64_t
     pick(uint32_t est_ms, uint32_t waited_ms, bool failed = false)
     {
-        fl_requirements n = {
+        fl_requirements req = {
             "s", 1000, 1, 0, est_ms, waited_ms, failed, false, 0};
-        fl_agent *a = fl_pick(&f, now, &n);
+        fl_agent *a = fl_pick(&f, now, &req);
 
         return a != nullptr ? a->id : 0;
     }
@@ -130,9 +130,9 @@
 TEST(Fleet3, NothingIsSentToAWithdrawnDomainOrADrainingWorker)
 {
     Fleet3 t;
-    const char *out[] = {"kolding"};
+    const char *withdrawn[] = {"kolding"};
 
-    fl_set_withdrawn(&t.f, out, 1);
+    fl_set_withdrawn(&t.f, withdrawn, 1);
     EXPECT_EQ(t.pick(100, 0), 0u);
     fl_set_withdrawn(&t.f, nullptr, 0);
     EXPECT_NE(t.pick(100, 0), 0u);
@@ -249,10 +249,10 @@
 TEST(Many, AgentsOfAWithdrawnDomainAreReplaced)
 {
     Many m(300);
-    const char *out[] = {"kolding"};
+    const char *withdrawn[] = {"kolding"};
 
     m.open_all();
-    fl_set_withdrawn(&m.f, out, 1);
+    fl_set_withdrawn(&m.f, withdrawn, 1);
     m.advance(FL_SELECT_INTERVAL_MS);
     EXPECT_EQ(m.selected("kolding"), 0u);
     EXPECT_EQ(m.selected(), FL_SELECTED_MAX);
--- a/test/lag-test.cc
+++ b/test/lag-test.cc
@@ -12,18 +12,19 @@
 
 constexpr uint64_t SECOND = 1000000;
 
-/* A pass every 10 ms that is busy for a part of it; a probe every 20 ms. */
+/* Starts a pass every 10 ms, which takes the given fraction of that time, and
+ * a probe every 20 ms. */
 struct Process {
     lag l = {};
     uint64_t now = SECOND;
 
     void
-    run(uint64_t for_us, double busy, double probe_us)
+    run(uint64_t for_us, double utilization, double probe_us)
     {
         uint64_t end = now + for_us;
 
         for (int i = 0; now < end; i++) {
-            uint64_t pass = (uint64_t)(10000 * busy);
+            uint64_t pass = (uint64_t)(10000 * utilization);
 
             lg_pass_start(&l, now);
             if (i % 2 == 0) {
@@ -35,12 +36,12 @@
     }
     /* us until it is out of rotation or back, at most 60 s. */
     uint64_t
-    until(bool out, double busy, double probe_us)
+    until(bool out, double utilization, double probe_us)
     {
         uint64_t start = now;
 
         while (lg_is_out_of_rotation(&l) != out && now < start + 60 * SECOND) {
-            run(10000, busy, probe_us);
+            run(10000, utilization, probe_us);
         }
         return now - start;
     }
@@ -118,7 +119,7 @@
 
     p.run(10 * SECOND, 0.3, 100);
     for (int i = 0; i < 6000; i++) {
-        p.run(10000, 1, 100); /* an entry out of rotation gets callers, too */
+        p.run(10000, 1, 100); /* requests also reach entries out of rotation */
         out += lg_is_out_of_rotation(&p.l);
     }
     EXPECT_LT(out, 6000u / 6);
--- a/test/opstate-test.cc
+++ b/test/opstate-test.cc
@@ -8,80 +8,80 @@
 
 namespace {
 
-struct News {
-    opstate n = {};
+struct State {
+    opstate s = {};
 
-    ~News()
+    ~State()
     {
-        ost_free(&n);
+        ost_free(&s);
     }
 };
 
 /* b queries a for its state; false if b's did not change. */
 bool
-exchange(News &a, News &b)
+exchange(State &a, State &b)
 {
-    dw_msg question;
-    dw_msg answer;
+    dw_msg request;
+    dw_msg reply;
     bool applied;
 
-    ost_make_request(&b.n, &question);
-    if (!ost_make_reply(&a.n, &question.dw_msg_u.news, &answer)) {
+    ost_make_request(&b.s, &request);
+    if (!ost_make_reply(&a.s, &request.dw_msg_u.news, &reply)) {
         return false;
     }
-    applied = ost_apply_reply(&b.n, &answer.dw_msg_u.news);
-    xdr_free((xdrproc_t)xdr_dw_msg, &answer);
+    applied = ost_apply_reply(&b.s, &reply.dw_msg_u.news);
+    xdr_free((xdrproc_t)xdr_dw_msg, &reply);
     return applied;
 }
 
 } // namespace
 
-/* A caller gets 404 for a route that was added long ago: the store turned
- * down this entry for longer than a change may take, and it did not query
- * other entries. */
-TEST(News, AnEntryWithoutTheStoreLearnsFromAnother)
+/* Guards against a 404 for a route that was added long ago: the store refused
+ * this entry for longer than a change may take, and it did not query other
+ * entries. */
+TEST(Opstate, AnEntryWithoutTheStoreLearnsFromAnother)
 {
-    News a;
-    News b;
+    State a;
+    State b;
 
-    ost_set_config(&a.n, STR("{1}"), 10);
-    ost_set_domain(&a.n, "aarhus", true, 12);
-    ost_set_known_rev(&a.n, 15);
-    ost_set_config(&b.n, STR("{0}"), 5);
-    ost_set_known_rev(&b.n, 9);
+    ost_set_config(&a.s, STR("{1}"), 10);
+    ost_set_domain(&a.s, "aarhus", true, 12);
+    ost_set_known_rev(&a.s, 15);
+    ost_set_config(&b.s, STR("{0}"), 5);
+    ost_set_known_rev(&b.s, 9);
     EXPECT_TRUE(exchange(a, b));
-    EXPECT_EQ(std::string(b.n.config.p, b.n.config.n), "{1}");
-    ASSERT_EQ(b.n.withdrawn_count, 1u);
-    EXPECT_STREQ(b.n.withdrawn[0], "aarhus");
+    EXPECT_EQ(std::string(b.s.config.p, b.s.config.n), "{1}");
+    ASSERT_EQ(b.s.withdrawn_count, 1u);
+    EXPECT_STREQ(b.s.withdrawn[0], "aarhus");
     EXPECT_FALSE(exchange(a, b)); /* nothing newer */
-    ost_set_domain(&a.n, "aarhus", false, 20);
+    ost_set_domain(&a.s, "aarhus", false, 20);
     EXPECT_TRUE(exchange(a, b));
-    EXPECT_EQ(b.n.withdrawn_count, 0u);
+    EXPECT_EQ(b.s.withdrawn_count, 0u);
 }
 
-TEST(News, AnEntryWithAnOlderStateDoesNotReply)
+TEST(Opstate, AnEntryWithAnOlderStateDoesNotReply)
 {
-    News a;
-    News b;
+    State a;
+    State b;
 
-    ost_set_config(&a.n, STR("{0}"), 5);
-    ost_set_known_rev(&a.n, 9);
-    ost_set_config(&b.n, STR("{1}"), 10);
-    ost_set_known_rev(&b.n, 15);
+    ost_set_config(&a.s, STR("{0}"), 5);
+    ost_set_known_rev(&a.s, 9);
+    ost_set_config(&b.s, STR("{1}"), 10);
+    ost_set_known_rev(&b.s, 15);
     EXPECT_FALSE(exchange(a, b));
-    EXPECT_EQ(std::string(b.n.config.p, b.n.config.n), "{1}");
+    EXPECT_EQ(std::string(b.s.config.p, b.s.config.n), "{1}");
 }
 
-TEST(News, RequestsAreDueOnlyWhileTheStoreIsUnreachable)
+TEST(Opstate, RequestsAreDueOnlyWhileTheStoreIsUnreachable)
 {
-    News a;
+    State a;
 
-    ost_set_store_state(&a.n, 1000, true);
-    EXPECT_FALSE(ost_request_due(&a.n, 9000));
-    ost_set_store_state(&a.n, 9000, false);
-    EXPECT_FALSE(ost_request_due(&a.n, 9000 + OST_REQUEST_MS - 1));
-    EXPECT_TRUE(ost_request_due(&a.n, 9000 + OST_REQUEST_MS));
-    EXPECT_FALSE(ost_request_due(&a.n, 9000 + OST_REQUEST_MS + 1));
-    ost_set_store_state(&a.n, 9900, true);
-    EXPECT_FALSE(ost_request_due(&a.n, 20000));
+    ost_set_store_state(&a.s, 1000, true);
+    EXPECT_FALSE(ost_request_due(&a.s, 9000));
+    ost_set_store_state(&a.s, 9000, false);
+    EXPECT_FALSE(ost_request_due(&a.s, 9000 + OST_REQUEST_MS - 1));
+    EXPECT_TRUE(ost_request_due(&a.s, 9000 + OST_REQUEST_MS));
+    EXPECT_FALSE(ost_request_due(&a.s, 9000 + OST_REQUEST_MS + 1));
+    ost_set_store_state(&a.s, 9900, true);
+    EXPECT_FALSE(ost_request_due(&a.s, 20000));
 }
--- a/test/serve-test.cc
+++ b/test/serve-test.cc
@@ -1,7 +1,7 @@
 /*
  * Entries, agents and workers together under faults, without sockets.  Under
  * all faults, no task runs twice at a time, no worker is sent more than it
- * can hold, and answers are true.
+ * can hold, and answers are correct.
  */
 #include <gtest/gtest.h>
 
@@ -123,7 +123,7 @@
 
     for (uint64_t seed = 1; seed <= 20; seed++) {
         World w(seed, ENTRIES, AGENTS);
-        uint64_t began = w.now;
+        uint64_t started_ms = w.now;
 
         w.forward_share = forward_share;
         traffic(w, 14000);
@@ -136,7 +136,7 @@
         uint64_t recovered = w.now;
         w.run(8000);
         EXPECT_EQ(first_violation(w), "") << f.name << " seed " << seed;
-        Tally all = tally(w, began);
+        Tally all = tally(w, started_ms);
         Tally after = tally(w, recovered);
         during.calls += all.calls;
         during.completed += all.completed;
