--- a/actexec.c
+++ b/actexec.c
@@ -123,7 +123,7 @@
 }
 
 static void
-do_note(struct daemon *d, struct act *a)
+do_event(struct daemon *d, struct act *a)
 {
     if (a->customer[0] == '\0') {
         log_event(LOG_LEVEL_INFO, "fleet", "%s", a->text);
@@ -142,7 +142,7 @@
     [ACT_ANSWER] = do_answer,
     [ACT_TXN] = do_txn,
     [ACT_READ] = do_read,
-    [ACT_EVENT] = do_note,
+    [ACT_EVENT] = do_event,
 };
 
 void
--- a/agent.c
+++ b/agent.c
@@ -97,15 +97,15 @@
     int64_t free_millicores)
 {
     const struct ag_entry *x;
-    uint64_t before = 0;
+    uint64_t claimed = 0;
 
     for (x = a->entries; x != NULL; x = x->hh.next) {
-        before += claim_ahead(x, e, now, free_millicores);
+        claimed += claim_ahead(x, e, now, free_millicores);
     }
-    if (free_millicores <= 0 || before == 0) {
+    if (free_millicores <= 0 || claimed == 0) {
         return free_millicores;
     }
-    return (int64_t)num_sub_sat((uint64_t)free_millicores, before);
+    return (int64_t)num_sub_sat((uint64_t)free_millicores, claimed);
 }
 
 static bool
@@ -117,10 +117,10 @@
 static int64_t
 current_free(const struct agent *a, uint64_t now)
 {
-    dw_room room;
+    dw_room capacity;
 
-    rn_get_capacity(&a->runner, now, &room);
-    return room.serving ? room.free_millicores : 0;
+    rn_get_capacity(&a->runner, now, &capacity);
+    return capacity.serving ? capacity.free_millicores : 0;
 }
 
 /* The entry has demand, and capacity for it is free that has not been reported
--- a/agentd.c
+++ b/agentd.c
@@ -26,7 +26,7 @@
 struct agentd {
     struct serve *s;
     struct agent agent;
-    struct httpc *http;      /* starts, stops and quick polls */
+    struct httpc *http;      /* starts, stops and immediate polls */
     struct httpc *poll_http; /* long polls */
     struct web *announce;    /* HTTP server for the worker's heartbeats */
     char url[300];           /* of the worker */
@@ -42,7 +42,7 @@
     struct agentd *ad;
     struct rn_key key;
     uint64_t sent_ms;
-    bool quick; /* a poll that does not wait */
+    bool quick; /* an immediate poll; see struct rn_poll */
 };
 
 static struct run_call *
@@ -154,36 +154,36 @@
 on_polled(void *ctx, const struct httpc_result *d)
 {
     struct run_call *c = ctx;
-    struct wire_poll l = {0};
+    struct wire_poll poll = {0};
     struct err e = {""};
 
     if (d->status == HTTPC_OK && d->http_status == 200 &&
-        wire_read_poll(&l, d->body, &e) != WIRE_OK) {
+        wire_read_poll(&poll, d->body, &e) != WIRE_OK) {
         log_event(LOG_LEVEL_WARN, "look_unreadable", "error=\"%s\"", e.msg);
     }
-    l.result.sent_ms = c->sent_ms;
-    l.result.immediate = c->quick;
-    l.result.unreachable = d->status == HTTPC_NOT_SENT;
-    rn_poll_answered(&c->ad->agent.runner, proc_now(), &l.result);
-    wire_poll_free(&l);
+    poll.result.sent_ms = c->sent_ms;
+    poll.result.immediate = c->quick;
+    poll.result.unreachable = d->status == HTTPC_NOT_SENT;
+    rn_poll_answered(&c->ad->agent.runner, proc_now(), &poll.result);
+    wire_poll_free(&poll);
     free(c);
 }
 
 static void
-do_poll(
-    void *ctx, const struct rn_poll_request *ask, const struct rn_terms *terms)
+do_poll(void *ctx, const struct rn_poll_request *request,
+    const struct rn_terms *terms)
 {
     struct agentd *ad = ctx;
     struct buf b = {0};
     struct run_call *c;
 
-    wire_put_poll(&b, ask, terms);
-    c = post(ad, ask->immediate ? ad->http : ad->poll_http, "hold",
+    wire_put_poll(&b, request, terms);
+    c = post(ad, request->immediate ? ad->http : ad->poll_http, "hold",
         buf_str(&b),
-        ask->immediate ? RN_ANSWER_TIMEOUT_MS
-                       : ask->wait_ms + RN_POLL_MARGIN_MS,
+        request->immediate ? RN_ANSWER_TIMEOUT_MS
+                           : request->wait_ms + RN_POLL_MARGIN_MS,
         on_polled, NULL);
-    c->quick = ask->immediate;
+    c->quick = request->immediate;
     buf_free(&b);
 }
 
@@ -205,21 +205,22 @@
 };
 
 static void
-log_run_end(void *ctx, const struct rn_run *run, dw_end how, uint32_t ran_ms)
+log_run_end(
+    void *ctx, const struct rn_run *run, dw_end outcome, uint32_t ran_ms)
 {
     struct agentd *ad = ctx;
-    bool done = how == DW_END_DONE;
+    bool done = outcome == DW_END_DONE;
 
     if (done) {
         hist_add(&ad->run_ms, ran_ms);
     }
     log_event(done ? LOG_LEVEL_INFO : LOG_LEVEL_WARN,
-        done                 ? "run_done"
-        : how == DW_END_FULL ? "run_full"
-                             : "run_ended",
+        done                     ? "run_done"
+        : outcome == DW_END_FULL ? "run_full"
+                                 : "run_ended",
         "job=%016" PRIx64 " task=%" PRIu64 " run=%" PRIu64
         " how=%s state=%s waited_ms=%" PRIu64 " ran_ms=%u est_ms=%u pace=%u",
-        run->key.job, run->key.index, run->key.run, outcome_names[how],
+        run->key.job, run->key.index, run->key.run, outcome_names[outcome],
         state_names[run->state], run->sent_ms - run->received_ms, ran_ms,
         run->est_ms, ad->agent.runner.pace_permille);
 }
@@ -289,30 +290,30 @@
 
 static void
 handle_heartbeat(
-    struct agentd *ad, uint64_t now, const struct wire_heartbeat *b)
+    struct agentd *ad, uint64_t now, const struct wire_heartbeat *hb)
 {
-    if (b->started_ms < ad->agent.runner.incarnation ||
-        (b->started_ms == ad->heartbeat_started_ms &&
-            b->seq <= ad->heartbeat_seq)) {
+    if (hb->started_ms < ad->agent.runner.incarnation ||
+        (hb->started_ms == ad->heartbeat_started_ms &&
+            hb->seq <= ad->heartbeat_seq)) {
         return; /* delayed, or from an earlier incarnation of the worker */
     }
-    ad->heartbeat_started_ms = b->started_ms;
-    ad->heartbeat_seq = b->seq;
+    ad->heartbeat_started_ms = hb->started_ms;
+    ad->heartbeat_seq = hb->seq;
     if (!ad->agent.runner.capacity_known ||
-        b->started_ms != ad->agent.runner.incarnation) {
+        hb->started_ms != ad->agent.runner.incarnation) {
         log_event(LOG_LEVEL_INFO, "worker_room",
-            "millicores=%u memory_mb=%u gpus=%u born=%" PRIu64, b->millicores,
-            b->memory_mb, b->gpus, b->started_ms);
+            "millicores=%u memory_mb=%u gpus=%u born=%" PRIu64, hb->millicores,
+            hb->memory_mb, hb->gpus, hb->started_ms);
     }
-    rn_set_capacity(&ad->agent.runner, now, b->millicores, b->memory_mb,
-        b->gpus, b->started_ms);
+    rn_set_capacity(&ad->agent.runner, now, hb->millicores, hb->memory_mb,
+        hb->gpus, hb->started_ms);
     rn_set_draining(
-        &ad->agent.runner, now, b->draining, b->has_left_ms, b->left_ms);
-    if (b->draining != ad->draining_logged) {
-        ad->draining_logged = b->draining;
+        &ad->agent.runner, now, hb->draining, hb->has_left_ms, hb->left_ms);
+    if (hb->draining != ad->draining_logged) {
+        ad->draining_logged = hb->draining;
         log_event(LOG_LEVEL_INFO,
-            b->draining ? "worker_draining" : "worker_ready",
-            "left_ms=%" PRIu64, b->left_ms);
+            hb->draining ? "worker_draining" : "worker_ready",
+            "left_ms=%" PRIu64, hb->left_ms);
     }
 }
 
@@ -329,7 +330,7 @@
 on_announce(void *ctx, struct web_req *r)
 {
     struct agentd *ad = ctx;
-    struct wire_heartbeat b;
+    struct wire_heartbeat hb;
     struct err e = {""};
 
     if (has_prefix(web_path(r), DEREGISTER_PATH)) {
@@ -340,19 +341,19 @@
     else if (!has_prefix(web_path(r), HEARTBEAT_PATH)) {
         web_reply(r, 404, "application/json", STR("{}"), 0);
     }
-    else if (wire_read_heartbeat(&b, web_body(r), &e) != WIRE_OK) {
+    else if (wire_read_heartbeat(&hb, web_body(r), &e) != WIRE_OK) {
         log_event(
             LOG_LEVEL_WARN, "announcement_unreadable", "error=\"%s\"", e.msg);
         web_reply(r, 400, "application/json", STR("{}"), 0);
     }
     else {
-        handle_heartbeat(ad, proc_now(), &b);
+        handle_heartbeat(ad, proc_now(), &hb);
         web_reply(r, 200, "application/json", STR("{}"), 0);
     }
 }
 
 static void
-on_announce_gone(void *ctx, struct web_req *r)
+on_announce_disconnected(void *ctx, struct web_req *r)
 {
     (void)ctx;
     (void)r;
@@ -377,7 +378,7 @@
     conf_endpoint(&at, s->conf->platform.announce_listen);
     cfg.port = at.port;
     return web_open(&ad->announce, s->loop, &cfg, on_announce,
-               on_announce_gone, ad, e) == WEB_OK
+               on_announce_disconnected, ad, e) == WEB_OK
                ? 0
                : -1;
 }
--- a/backend.c
+++ b/backend.c
@@ -80,7 +80,7 @@
 }
 
 static bool
-on_ready(void *ctx)
+on_before_send(void *ctx)
 {
     struct run *r = ctx;
 
@@ -122,7 +122,7 @@
     call.connect_timeout_ms = 1000;
     call.body_max = RESULT_MAX;
     call.done = on_run_done;
-    call.before_send = on_ready;
+    call.before_send = on_before_send;
     call.ctx = r;
     httpc_start(b->http, &call);
 }
--- a/dunlinweird.c
+++ b/dunlinweird.c
@@ -337,10 +337,10 @@
     struct err e = {""};
     int opt = poptGetNextOpt(ctx);
     int code = EXIT_BAD_USAGE;
-    const char *where = getenv(SETTINGS_VARIABLE);
+    const char *env_path = getenv(SETTINGS_VARIABLE);
 
-    if (path == NULL && where != NULL) {
-        path = str_dup(str_of(where));
+    if (path == NULL && env_path != NULL) {
+        path = str_dup(str_of(env_path));
     }
 
     if (opt < -1) {
--- a/entrycall.c
+++ b/entrycall.c
@@ -48,8 +48,8 @@
 }
 
 static void
-log_refusal(void *ctx, const struct co_submit *s, const struct es_estimate *g,
-    const char *why, uint64_t waiting_ms)
+log_refusal(void *ctx, const struct co_submit *s,
+    const struct es_estimate *est, const char *why, uint64_t waiting_ms)
 {
     struct entry *e = ctx;
     struct fl_totals sum = fl_total(&e->coord.fleet, proc_now(), s->service,
@@ -58,7 +58,7 @@
     log_event(LOG_LEVEL_WARN, "job_refused",
         "job=%016" PRIx64 " why=%s tasks=%zu run_ms=%u left_ms=%u"
         " use_ms=%u waiting_ms=%" PRIu64 " capacity=%" PRId64 " free=%" PRId64,
-        s->id, why, s->task_count, g->run_ms, s->timeout_ms, g->useful_ms,
+        s->id, why, s->task_count, est->run_ms, s->timeout_ms, est->useful_ms,
         waiting_ms, sum.capacity, sum.free);
 }
 
@@ -107,7 +107,7 @@
 }
 
 static void
-reply_outcome(struct web_req *r, enum co_outcome how, const char *reason,
+reply_outcome(struct web_req *r, enum co_outcome outcome, const char *reason,
     uint32_t retry_ms)
 {
     static const struct {
@@ -119,16 +119,16 @@
         [CO_GAVE_UP] = {504, "{\"error\":\"gave_up\"}"},
     };
 
-    if (how == CO_NOT_RUN) {
+    if (outcome == CO_NOT_RUN) {
         reply_not_run(r, reason, retry_ms);
     }
     else {
-        ec_reply(r, replies[how].status, replies[how].text);
+        ec_reply(r, replies[outcome].status, replies[outcome].text);
     }
 }
 
 static void
-answer(void *ctx, void *handle, enum co_outcome how, const char *reason,
+answer(void *ctx, void *handle, enum co_outcome outcome, const char *reason,
     uint32_t retry_ms)
 {
     struct caller *c = handle;
@@ -136,10 +136,10 @@
     (void)ctx;
     if (c->req != NULL) {
         web_set_ctx(c->req, NULL);
-        reply_outcome(c->req, how, reason, retry_ms);
+        reply_outcome(c->req, outcome, reason, retry_ms);
     }
     else {
-        rl_reply(c->forwarded, how, reason, retry_ms);
+        rl_reply(c->forwarded, outcome, reason, retry_ms);
     }
     free(c);
 }
@@ -386,8 +386,8 @@
 
 /* ms by which a peer's loop may be late in ending an origin entry's jobs. */
 #define PEER_LATE_MS 150U
-/* Lower limit for the ms after which callers resend a request without an
- * answer, for requests to be forwarded.  Within this time a peer that lost
+/* Requests are forwarded only if callers wait at least this many ms for an
+ * answer before they resend a request.  Within this time a peer that lost
  * contact with this entry has ended the job, and agents that lost contact with
  * the peer have ended its runs, so a resent job never runs twice at a time. */
 #define FORWARD_RESEND_MS                                                     \
@@ -411,41 +411,41 @@
 }
 
 static void
-start_forwarded(void *ctx, struct rl_accepted *t)
+start_forwarded(void *ctx, struct rl_accepted *request)
 {
     struct entry *e = ctx;
     struct caller *c = dw_zero(1, sizeof(*c));
 
     e->forwarded_in++;
-    c->forwarded = t;
-    t->data = c;
+    c->forwarded = request;
+    request->data = c;
     if (!it_add(&e->intake, proc_now_us(), c)) {
         answer(e, c, CO_NOT_RUN, "behind", OVERLOAD_RETRY_MS);
     }
 }
 
 static void
-abandon_forwarded(void *ctx, struct rl_accepted *t)
+abandon_forwarded(void *ctx, struct rl_accepted *request)
 {
     struct entry *e = ctx;
 
-    if (!it_remove(&e->intake, t->data)) {
-        co_caller_left(&e->coord, proc_now(), t->data);
+    if (!it_remove(&e->intake, request->data)) {
+        co_caller_left(&e->coord, proc_now(), request->data);
     }
-    free(t->data);
+    free(request->data);
 }
 
 static void
-answer_from_peer(void *ctx, void *handle, enum co_outcome how,
+answer_from_peer(void *ctx, void *handle, enum co_outcome outcome,
     const char *reason, uint32_t retry_ms)
 {
     struct str job = job_id_text(path_of(handle));
 
-    if (how == CO_GAVE_UP) {
+    if (outcome == CO_GAVE_UP) {
         log_event(LOG_LEVEL_WARN, "request_ended", "job=%.*s why=%s",
             (int)job.n, job.p, reason);
     }
-    answer(ctx, handle, how, reason, retry_ms);
+    answer(ctx, handle, outcome, reason, retry_ms);
 }
 
 static void
--- a/entryd.c
+++ b/entryd.c
@@ -43,7 +43,8 @@
 {
     struct entry *e = ctx;
 
-    /* Before that, callers that reconnect would be sent here again. */
+    /* Connections are not closed earlier, as callers that reconnect would be
+     * sent here again. */
     if (lg_is_out_of_rotation(&e->lag) &&
         ++e->failed_checks == CHECKS_TO_DEREGISTER) {
         web_set_close_after_reply(e->callers, true);
@@ -52,7 +53,7 @@
 }
 
 static void
-on_ready_check_gone(void *ctx, struct web_req *r)
+on_ready_check_disconnected(void *ctx, struct web_req *r)
 {
     (void)ctx;
     (void)r;
@@ -62,14 +63,15 @@
 
 static int
 open_web(struct entry *e, struct web **out, const char *endpoint,
-    web_handle_fn handle, web_disconnect_fn on_gone, struct err *err)
+    web_handle_fn handle, web_disconnect_fn on_disconnect, struct err *err)
 {
     struct conf_endpoint at;
     struct web_cfg cfg = {at.addr, 0, CALLERS_MAX, BODY_MAX, IDLE_S};
 
     conf_endpoint(&at, endpoint);
     cfg.port = at.port;
-    return web_open(out, e->s->loop, &cfg, handle, on_gone, e, err) == WEB_OK
+    return web_open(out, e->s->loop, &cfg, handle, on_disconnect, e, err) ==
+                   WEB_OK
                ? 0
                : -1;
 }
@@ -99,7 +101,7 @@
     if (open_web(e, &e->callers, p->callers_listen, ec_request, ec_caller_gone,
             err) != 0 ||
         open_web(e, &e->ready, p->readiness_listen, on_ready_check,
-            on_ready_check_gone, err) != 0) {
+            on_ready_check_disconnected, err) != 0) {
         return -1;
     }
     ev_check_init(&e->pass_check, on_loop_pass);
--- a/entrystore.c
+++ b/entrystore.c
@@ -110,8 +110,8 @@
     log_store(available, message);
 }
 
-/* Entries queried at a time.  The one queried last is skipped, so that not all
- * queries go to the same entries. */
+/* Entries queried at a time, in the order of the peer table.  The entry that
+ * was sent the latest query is skipped. */
 #define QUERIES_MAX 2U
 
 void
@@ -192,31 +192,31 @@
 #define ESTIMATES_PREFIX SV_KEY_PREFIX "times/"
 
 static void
-on_estimates_saved(void *ctx, const struct kv_response *a)
+on_estimates_saved(void *ctx, const struct kv_response *r)
 {
     (void)ctx;
-    if (a->status != KV_OK) {
+    if (r->status != KV_OK) {
         log_event(
-            LOG_LEVEL_WARN, "times_not_kept", "error=\"%s\"", a->message);
+            LOG_LEVEL_WARN, "times_not_kept", "error=\"%s\"", r->message);
     }
 }
 
 static void
-on_estimates_lease(void *ctx, const struct kv_response *a)
+on_estimates_lease(void *ctx, const struct kv_response *r)
 {
     struct entry *e = ctx;
     struct buf key = {0};
     struct buf value = {0};
 
-    if (a->status != KV_OK || a->lease == 0) {
-        on_estimates_saved(ctx, a);
+    if (r->status != KV_OK || r->lease == 0) {
+        on_estimates_saved(ctx, r);
         return;
     }
     buf_addf(&key, ESTIMATES_PREFIX "%s", e->s->conf->node.me.name);
     es_save(&e->coord.run_times, &value);
     if (value.n > 0) {
         kv_put(
-            e->s->kv, key.p, buf_str(&value), a->lease, on_estimates_saved, e);
+            e->s->kv, key.p, buf_str(&value), r->lease, on_estimates_saved, e);
     }
     buf_free(&key);
     buf_free(&value);
--- a/member.c
+++ b/member.c
@@ -79,11 +79,11 @@
 
 static bool
 set_state(struct mbr *m, struct mbr_peer *p, uint64_t now, dw_alive state,
-    uint32_t round)
+    uint32_t incarnation)
 {
     bool changed = p->state != state;
 
-    if (!changed && p->incarnation == round) {
+    if (!changed && p->incarnation == incarnation) {
         return false;
     }
     if (changed) {
@@ -92,7 +92,7 @@
         m->state_version++;
     }
     p->state = state;
-    p->incarnation = round;
+    p->incarnation = incarnation;
     p->sends_left = update_sends(m);
     return changed;
 }
@@ -126,9 +126,9 @@
 }
 
 static uint32_t
-later_incarnation(uint32_t round, uint64_t mod)
+later_incarnation(uint32_t incarnation, uint64_t mod)
 {
-    return (uint32_t)mod > round ? (uint32_t)mod : round;
+    return (uint32_t)mod > incarnation ? (uint32_t)mod : incarnation;
 }
 
 /*
@@ -190,12 +190,12 @@
     u->load = p->load;
 }
 
-/* Our own update, the receiver's if we hold it not alive, so that it can
- * refute that, then updates with sends left. */
+/* Our own update; the receiver's if it is suspected or declared dead here, so
+ * that it can refute that; then updates with sends left. */
 static void
 fill_updates(struct mbr *m, uint64_t to, dw_ping *ping)
 {
-    struct mbr_peer *about = find_peer(m, to);
+    struct mbr_peer *receiver = find_peer(m, to);
     struct mbr_peer *p;
     dw_update *u = dw_zero(UPDATES_MAX, sizeof(*u));
     u_int n = 0;
@@ -205,8 +205,8 @@
     u[n].rev = m->rev;
     u[n].load = m->load;
     n++;
-    if (about != NULL && about->state != DW_M_ALIVE) {
-        fill_update(about, &u[n++]);
+    if (receiver != NULL && receiver->state != DW_M_ALIVE) {
+        fill_update(receiver, &u[n++]);
     }
     for (p = m->peers; p != NULL && n < UPDATES_MAX; p = p->hh.next) {
         if (p->sends_left == 0 || p->id == to) {
@@ -408,13 +408,13 @@
 static void
 on_ack(struct mbr *m, const dw_ping *ack, struct acts *out)
 {
-    dw_ping *fwd;
+    dw_ping *forwarded;
 
     if (ack->origin != m->self) {
-        fwd = send_ping(m, ack->origin, DW_PING_ACK, out);
-        fwd->seq = ack->seq;
-        fwd->target = ack->target;
-        fwd->origin = ack->origin;
+        forwarded = send_ping(m, ack->origin, DW_PING_ACK, out);
+        forwarded->seq = ack->seq;
+        forwarded->target = ack->target;
+        forwarded->origin = ack->origin;
         return;
     }
     if (ack->target == m->probe_target && ack->seq == m->seq) {
--- a/member.h
+++ b/member.h
@@ -25,7 +25,7 @@
 
 /* Settings. */
 struct mbr_cfg {
-    uint32_t period_ms;  /* between pings to one process after another */
+    uint32_t period_ms;  /* from a ping to the next, to another process */
     uint32_t timeout_ms; /* without an answer until others are asked to ping */
     uint32_t suspect_ms; /* from suspected to declared dead */
     uint32_t fanout;     /* number of others asked to ping */
@@ -43,7 +43,7 @@
     uint64_t rev;      /* its view's revision, as of heard_ms */
     dw_load load;      /* as of heard_ms */
     bool have_load;
-    uint32_t sends_left; /* messages that its update still goes with */
+    uint32_t sends_left; /* messages that will still carry its update */
     UT_hash_handle hh;
 };
 
--- a/runner.c
+++ b/runner.c
@@ -17,7 +17,7 @@
  */
 #define PACE_HALF_MS 100U
 #define PACE_RUNS_MAX 6U
-#define USUAL_HALF_MS 8000U
+#define SPEED_HALF_MS 8000U
 /* Added to the fence when the worker has seen a higher one, as happens when
  * the time of day was set back; in ms, more than clocks are set back by. */
 #define FENCE_STEP 86400000U
@@ -77,11 +77,13 @@
     run->progress_ms = now;
 }
 
-/* After half_ms of observation, `seen` makes up half of the value. */
+/* The average after a value was observed for `ms`; an observation of half_ms
+ * makes up half of the result. */
 static uint32_t
-moving_average(uint32_t value, uint64_t seen, uint64_t ms, uint64_t half_ms)
+moving_average(
+    uint32_t value, uint64_t observed, uint64_t ms, uint64_t half_ms)
 {
-    return (uint32_t)((value * half_ms + seen * ms) / (half_ms + ms));
+    return (uint32_t)((value * half_ms + observed * ms) / (half_ms + ms));
 }
 
 /* Speed is estimated work done over the time it took. */
@@ -89,19 +91,19 @@
 update_speed(struct runner *r)
 {
     uint64_t runs = num_min(num_max(rn_active_count(r), 1), PACE_RUNS_MAX);
-    uint64_t seen;
+    uint64_t observed;
 
     if (r->work_elapsed_ms == 0) {
         return;
     }
-    seen = num_max(
+    observed = num_max(
         num_min(r->work_est_us / r->work_elapsed_ms, SPEED_MAX_PERMILLE),
         SPEED_MIN_PERMILLE);
     r->pace_permille = moving_average(
-        r->pace_permille, seen, r->work_elapsed_ms, runs * PACE_HALF_MS);
+        r->pace_permille, observed, r->work_elapsed_ms, runs * PACE_HALF_MS);
     if (2 * r->pace_permille > r->speed_permille) {
         r->speed_permille = moving_average(
-            r->speed_permille, seen, r->work_elapsed_ms, USUAL_HALF_MS);
+            r->speed_permille, observed, r->work_elapsed_ms, SPEED_HALF_MS);
     }
     r->work_est_us = 0;
     r->work_elapsed_ms = 0;
@@ -139,7 +141,7 @@
 
 /* --- worker's clock and lease --- */
 
-/* Upper bound of what the worker's clock shows. */
+/* Upper bound of what the worker's clock shows, in ms. */
 static uint64_t
 worker_clock(const struct runner *r, uint64_t now)
 {
@@ -160,11 +162,11 @@
 static uint64_t
 extend_lease(struct runner *r, uint64_t now)
 {
-    uint64_t since = now - r->worker_clock_at_ms;
-    uint64_t slow = since * RN_DRIFT_PERCENT / 100;
+    uint64_t elapsed = now - r->worker_clock_at_ms;
+    uint64_t drift = elapsed * RN_DRIFT_PERCENT / 100;
 
     r->lease_expiry_ms =
-        num_max(r->lease_expiry_ms, now + RN_LEASE_EXPIRY_MS + slow);
+        num_max(r->lease_expiry_ms, now + RN_LEASE_EXPIRY_MS + drift);
     return worker_clock(r, now) + RN_LEASE_MS;
 }
 
@@ -587,10 +589,10 @@
 {
     r->orphans = 0;
     for (size_t i = 0; i < p->running_count; i++) {
-        const struct rn_poll_run *s = &p->running[i];
-        struct rn_run *run = find_run(r, &s->key);
+        const struct rn_poll_run *reported = &p->running[i];
+        struct rn_run *run = find_run(r, &reported->key);
 
-        if (run == NULL && ended_recently(r, &s->key)) {
+        if (run == NULL && ended_recently(r, &reported->key)) {
             continue;
         }
         if (run == NULL) {
@@ -598,11 +600,11 @@
              * unknown, so nothing is started beside it. */
             r->orphans++;
             r->stats.orphans++;
-            send_stop(r, &s->key);
+            send_stop(r, &reported->key);
             continue;
         }
         run->reported = true;
-        note_progress(r, now, run, s->percent);
+        note_progress(r, now, run, reported->percent);
         if (run->state == RN_UNSURE || run->state == RN_STARTING) {
             run->state = RN_RUNNING;
             run->started_ms = run->sent_ms;
@@ -805,31 +807,31 @@
 }
 
 void
-rn_get_capacity(const struct runner *r, uint64_t now, dw_room *room)
+rn_get_capacity(const struct runner *r, uint64_t now, dw_room *capacity)
 {
     const struct rn_run *run;
 
-    memset(room, 0, sizeof(*room));
-    room->serving = rn_serving(r);
-    room->draining = r->draining;
-    room->left_ms = r->worker_exit_ms != 0
-                        ? num_remaining_ms(r->worker_exit_ms, now)
-                        : UINT32_MAX;
-    room->millicores = r->millicores;
-    room->memory_mb = r->memory_mb;
-    room->gpus = r->gpus;
-    room->speed_permille = r->speed_permille;
-    room->pace_permille = r->pace_permille;
-    room->fail_permille = r->fail_permille;
-    room->free_millicores = (int)(r->millicores - r->used_millicores);
-    room->free_memory_mb = (int)(r->memory_mb - r->used_memory_mb);
-    room->free_gpus = (int)(r->gpus - r->used_gpus);
+    memset(capacity, 0, sizeof(*capacity));
+    capacity->serving = rn_serving(r);
+    capacity->draining = r->draining;
+    capacity->left_ms = r->worker_exit_ms != 0
+                            ? num_remaining_ms(r->worker_exit_ms, now)
+                            : UINT32_MAX;
+    capacity->millicores = r->millicores;
+    capacity->memory_mb = r->memory_mb;
+    capacity->gpus = r->gpus;
+    capacity->speed_permille = r->speed_permille;
+    capacity->pace_permille = r->pace_permille;
+    capacity->fail_permille = r->fail_permille;
+    capacity->free_millicores = (int)(r->millicores - r->used_millicores);
+    capacity->free_memory_mb = (int)(r->memory_mb - r->used_memory_mb);
+    capacity->free_gpus = (int)(r->gpus - r->used_gpus);
     for (run = r->runs; run != NULL; run = run->hh.next) {
         if (run->state == RN_QUEUED) {
-            room->waiting++;
-            room->free_millicores -= (int)run->millicores;
-            room->free_memory_mb -= (int)run->memory_mb;
-            room->free_gpus -= (int)run->gpus;
+            capacity->waiting++;
+            capacity->free_millicores -= (int)run->millicores;
+            capacity->free_memory_mb -= (int)run->memory_mb;
+            capacity->free_gpus -= (int)run->gpus;
         }
     }
 }
--- a/runner.h
+++ b/runner.h
@@ -38,8 +38,9 @@
 #define RN_SILENT_POLLS 3U
 /* ms between polls while nothing runs. */
 #define RN_IDLE_POLL_MS 500U
-/* ms from a poll to the next while the worker is silent, has runs (also of an
- * earlier agent) or lacks an acknowledgement. */
+/* ms from a poll to the next that rn_tick() sends while the worker is silent,
+ * has or may have runs (also of an earlier agent) or lacks an
+ * acknowledgement. */
 #define RN_RETRY_POLL_MS 25U
 /* ms without an answer until a start or stop counts as lost; answers take 1
  * to 5.  A lost start costs a task of 60 ms this time, a poll, a stop and a
@@ -214,7 +215,7 @@
     /* After a restart of the worker, a lease of unknown length may last until
      * then; 0: none. */
     uint64_t unknown_lease_until_ms;
-    uint64_t incarnation_seen_ms; /* when it replaced another one */
+    uint64_t incarnation_seen_ms; /* when a restart was noticed; 0: none */
     uint64_t worker_clock_ms;     /* as last reported; 0: not known */
     uint64_t worker_clock_at_ms;  /* our clock when that report arrived */
     uint64_t lease_expiry_ms; /* the worker runs nothing of ours after it */
@@ -227,7 +228,7 @@
     bool silent;              /* no answer lately; gets no starts */
     bool immediate_pending;
     struct rn_key recent[RN_RECENT_MAX]; /* ring of ended runs */
-    size_t recent_next;
+    size_t recent_next; /* runs ended; modulo the size, the next slot */
     size_t orphans; /* running there but not known here, at the last poll */
     bool leaving;   /* this agent shuts down: start nothing more */
     uint64_t capacity_changed_ms;
@@ -246,13 +247,14 @@
 void rn_free(struct runner *r);
 
 /* Orders of an entry. */
-/* Starts a run at once, or reports it as DW_END_FULL if it does not fit.  An
- * order that is known already changes nothing. */
+/* Starts a run at once, or reports it as DW_END_FULL if it cannot start now.
+ * It is queued only while another run of its task is active here.  An order
+ * that is known already changes nothing. */
 void rn_order(struct runner *r, uint64_t now, uint64_t entry, uint64_t session,
     const dw_run_group *group, const dw_run *order);
 /* Stops a run, if it is known here. */
 void rn_stop(struct runner *r, uint64_t now, const dw_run_ref *ref);
-/* Stops all runs of a session. */
+/* Stops all runs of a session; queued ones are dropped without a report. */
 void rn_session_ended(struct runner *r, uint64_t now, uint64_t session);
 
 /* Reports of the worker. */
@@ -286,7 +288,7 @@
 size_t rn_leftover_count(
     const struct runner *r, uint64_t entry, uint64_t session);
 /* Fills in total and free capacity, queued runs deducted, and speeds. */
-void rn_get_capacity(const struct runner *r, uint64_t now, dw_room *room);
+void rn_get_capacity(const struct runner *r, uint64_t now, dw_room *capacity);
 
 #ifdef __cplusplus
 }
--- a/serve.c
+++ b/serve.c
@@ -12,11 +12,12 @@
 #include "proc.h"
 
 #define TICK_S 0.02
-/* After received messages, before callers. */
+/* Priority of the tick in a pass of the loop: after peers' messages are read,
+ * before callers' requests are. */
 #define SV_TICK_PRIORITY (-1)
 /* A longer pass of the loop, in ms, counts as a pause of the machine. */
 #define PAUSE_MS 300U
-/* Two watches, one or two reads, and requests that are resent. */
+/* Enough for two watches, one or two reads, and requests that are resent. */
 #define STORE_CONNECTIONS 16
 /* Timeout in ms of a call to the store, including all resends. */
 #define STORE_TIMEOUT_MS 1300U
@@ -102,25 +103,25 @@
 
 static void
 registration_failed(
-    struct serve *s, const char *what, const struct kv_response *a)
+    struct serve *s, const char *what, const struct kv_response *r)
 {
     s->registering = false;
     log_event(LOG_LEVEL_WARN, "own_entry_failed", "call=%s error=\"%s\"", what,
-        a->message);
+        r->message);
 }
 
 static void
-on_put(void *ctx, const struct kv_response *a)
+on_put(void *ctx, const struct kv_response *r)
 {
     struct serve *s = ctx;
 
-    if (a->status == KV_NOT_FOUND) {
+    if (r->status == KV_NOT_FOUND) {
         s->lease = 0;
     }
-    if (a->status != KV_OK) {
+    if (r->status != KV_OK) {
         /* The write is idempotent: repeating it is harmless even if it took
          * effect. */
-        registration_failed(s, "put", a);
+        registration_failed(s, "put", r);
         return;
     }
     s->registering = false;
@@ -142,25 +143,25 @@
 }
 
 static void
-on_lease(void *ctx, const struct kv_response *a)
+on_lease(void *ctx, const struct kv_response *r)
 {
     struct serve *s = ctx;
 
-    if (a->status != KV_OK || a->lease == 0) {
-        registration_failed(s, "lease", a);
+    if (r->status != KV_OK || r->lease == 0) {
+        registration_failed(s, "lease", r);
         return;
     }
-    s->lease = a->lease;
+    s->lease = r->lease;
     s->renewed_ms = proc_now();
     put_registration(s);
 }
 
 static void
-on_renewed(void *ctx, const struct kv_response *a)
+on_renewed(void *ctx, const struct kv_response *r)
 {
     struct serve *s = ctx;
 
-    if (a->status == KV_NOT_FOUND) {
+    if (r->status == KV_NOT_FOUND) {
         log_event(
             LOG_LEVEL_WARN, "own_entry_lapsed", "lease=%" PRIu64, s->lease);
         s->lease = 0;
@@ -170,14 +171,14 @@
 }
 
 static void
-on_verified(void *ctx, const struct kv_response *a)
+on_verified(void *ctx, const struct kv_response *r)
 {
     struct serve *s = ctx;
     char value[512];
 
     registration_value(s, value, sizeof(value));
-    if (a->status == KV_NOT_FOUND || (a->status == KV_OK && a->count == 1 &&
-                                         !str_is(a->items[0].value, value))) {
+    if (r->status == KV_NOT_FOUND || (r->status == KV_OK && r->count == 1 &&
+                                         !str_is(r->items[0].value, value))) {
         log_event(
             LOG_LEVEL_WARN, "own_entry_gone", "lease=%" PRIu64, s->lease);
         s->registered = false;
@@ -463,7 +464,7 @@
 }
 
 static void
-metrics_gone(void *ctx, struct web_req *r)
+on_metrics_disconnected(void *ctx, struct web_req *r)
 {
     (void)ctx;
     (void)r;
@@ -480,8 +481,8 @@
     }
     conf_endpoint(&at, s->conf->platform.metrics_listen);
     cfg.port = at.port;
-    return web_open(&s->metrics_web, s->loop, &cfg, on_metrics, metrics_gone,
-               s, e) == WEB_OK
+    return web_open(&s->metrics_web, s->loop, &cfg, on_metrics,
+               on_metrics_disconnected, s, e) == WEB_OK
                ? 0
                : -1;
 }
--- a/sync.c
+++ b/sync.c
@@ -73,7 +73,7 @@
 {
     const struct view_member *m;
     size_t members = 0;
-    size_t wanted;
+    size_t needed;
     size_t n = 0;
 
     for (m = s->view->members; m != NULL; m = m->hh.next) {
@@ -83,9 +83,9 @@
             insert_reader(best, READERS_MAX, &n, m);
         }
     }
-    wanted = (members + s->cfg.per_reader - 1) / s->cfg.per_reader;
-    wanted = wanted < READERS_MIN ? READERS_MIN : wanted;
-    return n < wanted ? n : wanted;
+    needed = (members + s->cfg.per_reader - 1) / s->cfg.per_reader;
+    needed = needed < READERS_MIN ? READERS_MIN : needed;
+    return n < needed ? n : needed;
 }
 
 static bool
@@ -99,7 +99,8 @@
             return true;
         }
     }
-    /* A process that the view does not list yet reads for itself. */
+    /* A process that the view does not list yet reads the store itself, as no
+     * other can read for it. */
     return view_member(s->view, s->self) == NULL;
 }
 
@@ -182,13 +183,13 @@
 static uint64_t
 majority_value(uint64_t *values, size_t n, size_t total)
 {
-    size_t need = total / 2 + 1;
+    size_t needed = total / 2 + 1;
 
-    if (n < need) {
+    if (n < needed) {
         return 0;
     }
     qsort(values, n, sizeof(values[0]), descending);
-    return values[need - 1];
+    return values[needed - 1];
 }
 
 /*
@@ -210,13 +211,13 @@
         return;
     }
     for (size_t i = 0; i < total; i++) {
-        const struct sync_domain *e = find_domain(s, names[i]);
+        const struct sync_domain *d = find_domain(s, names[i]);
 
         if (strcmp(names[i], s->domain) == 0) {
             confirmed_at[n++] = now;
         }
-        else if (e != NULL && e->store_down && e->rev <= s->view->rev) {
-            confirmed_at[n++] = e->pull_sent_ms;
+        else if (d != NULL && d->store_down && d->rev <= s->view->rev) {
+            confirmed_at[n++] = d->pull_sent_ms;
         }
     }
     at = majority_value(confirmed_at, n, total);
@@ -237,13 +238,13 @@
         return s->majority_rev;
     }
     for (size_t i = 0; i < total; i++) {
-        const struct sync_domain *e = find_domain(s, names[i]);
+        const struct sync_domain *d = find_domain(s, names[i]);
 
         if (strcmp(names[i], s->domain) == 0) {
             revs[n++] = s->view->rev;
         }
-        else if (e != NULL) {
-            revs[n++] = e->rev;
+        else if (d != NULL) {
+            revs[n++] = d->rev;
         }
     }
     return majority_value(revs, n, total);
@@ -460,18 +461,18 @@
 record_domain(struct sync *s, uint64_t from, const dw_state *st)
 {
     const struct view_member *m = view_member(s->view, from);
-    struct sync_domain *e;
+    struct sync_domain *d;
 
     if (m == NULL || strcmp(m->domain, s->domain) == 0) {
         return;
     }
-    e = add_domain(s, m->domain);
-    if (e == NULL || st->asked_ms < e->pull_sent_ms) {
+    d = add_domain(s, m->domain);
+    if (d == NULL || st->asked_ms < d->pull_sent_ms) {
         return;
     }
-    e->pull_sent_ms = st->asked_ms;
-    e->rev = st->rev;
-    e->store_down = st->store_down;
+    d->pull_sent_ms = st->asked_ms;
+    d->rev = st->rev;
+    d->store_down = st->store_down;
 }
 
 bool
--- a/sync.h
+++ b/sync.h
@@ -32,8 +32,8 @@
 struct sync_cfg {
     uint32_t pull_ms;  /* between pulls from a reader */
     uint32_t read_ms;  /* between a reader's checks of the store's revision */
-    uint32_t fresh_ms; /* T: maximum age of the copy at which work starts */
-    uint32_t per_reader; /* members for each reader */
+    uint32_t fresh_ms; /* T: maximum age of the copy at which work may start */
+    uint32_t per_reader; /* members that one reader serves */
 };
 
 /* A process that pulled from us. */
--- a/test/agent-test.cc
+++ b/test/agent-test.cc
@@ -46,17 +46,17 @@
 }
 
 void
-no_end(void *, const rn_run *, dw_end, uint32_t)
+no_run_ended(void *, const rn_run *, dw_end, uint32_t)
 {
 }
 
 void
-no_session(void *, uint64_t, const char *, uint64_t)
+no_session_event(void *, uint64_t, const char *, uint64_t)
 {
 }
 
 const ag_ops ops = {{no_start, no_stop, no_poll, nullptr}, record_sent,
-    no_reconnect, no_end, no_session};
+    no_reconnect, no_run_ended, no_session_event};
 
 struct Sessions {
     agent a;
--- a/test/kv-test.cc
+++ b/test/kv-test.cc
@@ -31,7 +31,8 @@
         err e = {""};
 
         EXPECT_EQ(
-            web_open(&web, loop, &cfg, on_request, on_gone, this, &e), WEB_OK)
+            web_open(&web, loop, &cfg, on_request, on_disconnect, this, &e),
+            WEB_OK)
             << e.msg;
         http = httpc_new(loop, 8);
         kv = kv_new(loop, http, url.c_str(), 1300);
@@ -63,7 +64,7 @@
         }
     }
     static void
-    on_gone(void *ctx, struct web_req *r)
+    on_disconnect(void *ctx, struct web_req *r)
     {
         Store *s = static_cast<Store *>(ctx);
 
--- a/test/member-test.cc
+++ b/test/member-test.cc
@@ -34,7 +34,7 @@
     for (uint64_t seed = 1; seed <= 8; seed++) {
         Fleet f(seed, 3, 10);
         int removals = 0;
-        bool was = true;
+        bool was_listed = true;
 
         ASSERT_TRUE(f.settle());
         f.run(3000);
@@ -43,13 +43,13 @@
         f.pause(f.entries() + 5, 10000);
         for (int i = 0; i < 3000; i++) {
             f.run(10);
-            bool is = listed(f, id);
+            bool is_listed = listed(f, id);
 
-            removals += was && !is;
-            was = is;
+            removals += was_listed && !is_listed;
+            was_listed = is_listed;
         }
         EXPECT_EQ(removals, 1) << "seed " << seed;
-        EXPECT_TRUE(was) << "seed " << seed;
+        EXPECT_TRUE(was_listed) << "seed " << seed;
     }
 }
 
@@ -104,15 +104,15 @@
             }
         }
         int registrations = 0;
-        bool was = true;
+        bool was_listed = true;
 
         f.cut_off(lowest);
         for (int i = 0; i < 3000; i++) {
             f.run(10);
-            bool is = f.procs[lowest]->n.was_listed;
+            bool is_listed = f.procs[lowest]->n.was_listed;
 
-            registrations += is && !was;
-            was = is;
+            registrations += is_listed && !was_listed;
+            was_listed = is_listed;
         }
         for (size_t i = 0; i < f.procs.size(); i++) {
             std::string key = VIEW_MEMBER + hex(f.procs[i]->n.self);
--- a/test/runner-test.cc
+++ b/test/runner-test.cc
@@ -238,7 +238,7 @@
     runner r;
     rn_poll p = {};
     rn_poll_run foreign = {{5, 5, 0}, 10};
-    dw_room room;
+    dw_room capacity;
 
     rn_init(&r, 100, &recorder_ops, &sent);
     p.sent_ms = 100;
@@ -249,14 +249,14 @@
     p.running_count = 1;
     rn_poll_answered(&r, 101, &p);
     rn_set_capacity(&r, 101, 10000, 1000, 0, 77);
-    rn_get_capacity(&r, 102, &room);
-    EXPECT_FALSE(room.serving);
+    rn_get_capacity(&r, 102, &capacity);
+    EXPECT_FALSE(capacity.serving);
     ASSERT_EQ(sent.stops.size(), 1u);
     p.sent_ms = 150;
     p.running_count = 0;
     rn_poll_answered(&r, 151, &p);
-    rn_get_capacity(&r, 152, &room);
-    EXPECT_TRUE(room.serving);
+    rn_get_capacity(&r, 152, &capacity);
+    EXPECT_TRUE(capacity.serving);
     rn_free(&r);
 }
 
--- a/test/wire-test.cc
+++ b/test/wire-test.cc
@@ -88,10 +88,11 @@
 TEST(Wire, RejectsMalformedHeartbeats)
 {
     for (auto &c : heartbeat_cases) {
-        wire_heartbeat b;
+        wire_heartbeat hb;
         err e = {""};
 
-        EXPECT_EQ(wire_read_heartbeat(&b, str_of(c.text), &e) == WIRE_OK, c.ok)
+        EXPECT_EQ(
+            wire_read_heartbeat(&hb, str_of(c.text), &e) == WIRE_OK, c.ok)
             << c.text;
     }
 }
@@ -121,7 +122,7 @@
 
 TEST(Wire, ReadsRunsAndOutcomesOfAPoll)
 {
-    wire_poll l;
+    wire_poll poll;
     err e = {""};
     const char *text =
         "{\"clock_ms\":9,\"born\":3,\"running\":["
@@ -129,17 +130,17 @@
         "\"finished\":[[58,\"5c0e7a21d94b36f8.0.0.9\",1,\"done\",\"\"],"
         "[59,\"5c0e7a21d94b36f8.0.0.8\",1,\"vanished\",\"\"]]}";
 
-    ASSERT_EQ(wire_read_poll(&l, str_of(text), &e), WIRE_OK);
-    ASSERT_EQ(l.result.running_count, 1u);
-    EXPECT_EQ(l.running[0].key.job, 0x5c0e7a21d94b36f8u);
-    EXPECT_EQ(l.running[0].key.index, 17u);
-    EXPECT_EQ(l.running[0].percent, 41u);
-    ASSERT_EQ(l.result.outcome_count, 2u);
-    EXPECT_EQ(l.outcomes[0].outcome, DW_END_DONE);
+    ASSERT_EQ(wire_read_poll(&poll, str_of(text), &e), WIRE_OK);
+    ASSERT_EQ(poll.result.running_count, 1u);
+    EXPECT_EQ(poll.running[0].key.job, 0x5c0e7a21d94b36f8u);
+    EXPECT_EQ(poll.running[0].key.index, 17u);
+    EXPECT_EQ(poll.running[0].percent, 41u);
+    ASSERT_EQ(poll.result.outcome_count, 2u);
+    EXPECT_EQ(poll.outcomes[0].outcome, DW_END_DONE);
     /* An unknown outcome is kept, without a key, to be acknowledged. */
-    EXPECT_EQ(l.outcomes[1].seq, 59u);
-    EXPECT_EQ(l.outcomes[1].key.job, 0u);
-    wire_poll_free(&l);
+    EXPECT_EQ(poll.outcomes[1].seq, 59u);
+    EXPECT_EQ(poll.outcomes[1].key.job, 0u);
+    wire_poll_free(&poll);
 }
 
 static const struct {
