--- a/contract.h
+++ b/contract.h
@@ -29,8 +29,8 @@
     uint32_t queued;         /* tasks waiting, in addition to those running */
     uint32_t max_tasks;      /* tasks in one job */
     uint32_t max_runtime_ms; /* declared run time of one task */
-    uint32_t guaranteed;     /* slots it gets under contention */
-    uint32_t weight;         /* relative share of the slots beyond those */
+    uint32_t guaranteed;     /* slots the customer gets under contention */
+    uint32_t weight;         /* relative share of the remaining slots */
     uint32_t max_millicores; /* declared by one task */
     uint32_t max_memory_mb;  /* declared by one task */
 };
--- a/front.c
+++ b/front.c
@@ -6,7 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Between two scans of the requests. */
 #define SCAN_INTERVAL_MS 10
+/* Between two attempts to charge a request that waits for a share. */
 #define QUOTA_RETRY_MS 50
 #define LENDER_HASH_SEED 0x686f6d65U
 
@@ -122,9 +124,9 @@
 }
 
 /*
- * A copy of a request that is too old may have been refused, and the owner may
- * have forgotten that refusal: the caller got "not run", so this one must not
- * start.
+ * Another copy of a request that is too old may have been refused, and the
+ * owner may have removed the record of that refusal.  The caller got "not
+ * run", so this copy may attach to a job but must not start one.
  */
 static void
 send_submit(const struct front *f, struct front_req *r, uint64_t now,
--- a/front.h
+++ b/front.h
@@ -27,17 +27,18 @@
 #endif
 
 struct front_cfg {
-    uint32_t owner_timeout_ms; /* without a reply from an owner, after which
-                                  the answer is "unknown" */
+    uint32_t owner_timeout_ms; /* after so long without a reply from an
+                                  owner the answer is "unknown" */
     uint32_t max_age_ms;       /* an older request may attach to a job that
                                   exists, but not start one */
-    uint32_t resend_ms;        /* of a request without a reply */
+    uint32_t resend_ms;        /* between resends of a request that got no
+                                  reply */
     uint32_t retry_min_ms;     /* first back-off after an owner was not ready;
                                   it doubles */
-    uint32_t retry_max_ms;
-    uint32_t answer_grace_ms; /* after the deadline, for the owner's answer to
-                                 arrive */
-    uint32_t requests_max;    /* that wait for an answer at once */
+    uint32_t retry_max_ms;     /* longest back-off */
+    uint32_t answer_grace_ms;  /* after the deadline, for the owner's answer to
+                                  arrive */
+    uint32_t requests_max;     /* most requests without an answer */
     struct quota_cfg quota;
 };
 
@@ -51,9 +52,9 @@
     bool needs_quota; /* not charged yet, so not sent yet */
     bool charged;     /* charge is set and not released */
     struct quota_charge charge;
-    uint64_t received_ms; /* when it may have arrived at the earliest */
+    uint64_t received_ms; /* earliest time at which it may have arrived */
     uint64_t deadline_ms;
-    uint64_t quota_wait_until_ms; /* then sent without a charge */
+    uint64_t quota_wait_until_ms; /* after this it is sent without a charge */
     uint64_t last_reply_ms;       /* of an owner; at first the arrival */
     uint64_t next_try_ms;         /* to send, or to charge if needs_quota */
     uint32_t backoff_ms;          /* 0: the last reply was not DW_A_MOVED */
@@ -63,13 +64,13 @@
 
 struct front_stats {
     uint64_t requests;
-    uint64_t sends; /* to owners, resends included */
+    uint64_t sends; /* messages to owners, with resends */
     uint64_t resends;
     uint64_t quota_waits;  /* attempts to charge that had to wait */
     uint64_t over_limit;   /* requests sent without a charge */
     uint64_t backoffs;     /* replies of owners that were not ready */
     uint64_t gave_up;      /* requests answered "unknown" here */
-    uint64_t late_answers; /* to requests that do not exist any more */
+    uint64_t late_answers; /* for requests that no longer exist */
 };
 
 struct front {
@@ -84,6 +85,7 @@
 
 enum front_status { FRONT_OK, FRONT_BUSY };
 
+/* Keeps `view`.  `self`, the id of this process, seeds the back-off. */
 void front_init(struct front *f, const struct front_cfg *cfg,
     const struct view *view, uint64_t self);
 void front_free(struct front *f);
@@ -109,6 +111,7 @@
     const dw_lent *l, struct acts *out);
 /* The partition map has changed: resend to the new owners at once. */
 void front_view_changed(struct front *f, uint64_t now, struct acts *out);
+/* Resends, retries and timeouts; renews the loans of the quota accounts. */
 void front_tick(struct front *f, uint64_t now, struct acts *out);
 
 /* Queries. */
@@ -116,7 +119,7 @@
 size_t front_waiting(const struct front *f);
 /* Id of the customer's lender, the agent that lends its limits; 0: none. */
 uint64_t front_lender(const struct view *v, struct str customer);
-/* The same, if the agent `without` were not a member. */
+/* The same, computed as if the agent `without` were not a member. */
 uint64_t front_lender_without(
     const struct view *v, struct str customer, uint64_t without);
 
--- a/host.c
+++ b/host.c
@@ -10,7 +10,7 @@
 #define RECORDS_CHUNK 256
 /* Virtual time of one task at weight 1. */
 #define VTIME_UNIT 1000000U
-/* Each task counts 1/ERROR_WINDOW in the moving average of failures. */
+/* Weight of one task in the moving average of failures: 1/ERROR_WINDOW. */
 #define ERROR_WINDOW 16
 /* Between two scans of the runs and records. */
 #define SCAN_INTERVAL_MS 50
@@ -94,8 +94,8 @@
     return rec;
 }
 
-/* Finds or adds a record and moves it to the end: records are ordered by their
- * last use. */
+/* Finds or adds a record and moves it to the end, so that records are ordered
+ * by their last offer or revoke. */
 static struct host_rec *
 use_rec(struct host *h, uint64_t now, const struct subkey *sk,
     uint32_t partition, uint32_t count)
@@ -225,7 +225,8 @@
     struct host_cust *c = r->cust;
 
     if (c->queue == NULL && c->running == 0 && c->vtime < h->vtime) {
-        /* A customer earns no service while it has no tasks here. */
+        /* A customer without tasks here accumulates no credit: it does not go
+         * before others for the time that it was idle. */
         c->vtime = h->vtime;
     }
     DL_APPEND(c->queue, r);
@@ -286,7 +287,8 @@
 static uint32_t
 update_usage(uint32_t old, uint32_t measured, uint32_t samples)
 {
-    /* Up at once, down slowly: too low an estimate overloads the worker. */
+    /* Raised at once and lowered slowly, as too low an estimate overloads
+     * the worker. */
     if (samples == 0 || measured > old) {
         return measured;
     }
@@ -295,9 +297,9 @@
 
 void
 host_task_usage(
-    struct host *h, struct str name, uint32_t millicores, uint32_t memory_mb)
+    struct host *h, struct str kind, uint32_t millicores, uint32_t memory_mb)
 {
-    struct host_kind *k = get_kind(h, name, true);
+    struct host_kind *k = get_kind(h, kind, true);
 
     k->millicores = update_usage(k->millicores, millicores, k->samples);
     k->memory_mb = update_usage(k->memory_mb, memory_mb, k->samples);
--- a/host.h
+++ b/host.h
@@ -27,11 +27,12 @@
     uint32_t slots; /* tasks running at once */
     uint32_t millicores;
     uint32_t memory_mb;
-    uint32_t queue_max;    /* tasks queued here, but for guaranteed ones */
+    uint32_t queue_max;    /* most tasks queued here; tasks within a
+                              guarantee may exceed it */
     uint32_t retention_ms; /* W: how long start records are kept */
     uint32_t resend_ms;    /* between resends of an unacknowledged result */
-    uint32_t bypass_ms;    /* smaller tasks may start before a queued one
-                              that does not fit for so long */
+    uint32_t bypass_ms;    /* how long smaller tasks may start before a
+                              queued one that does not fit */
     bool trust_declared;   /* experiments: use declared sizes only */
     bool no_records;       /* tests only: accept tasks that are recorded */
     bool no_epochs;        /* tests only: accept offers under an old epoch */
@@ -59,7 +60,7 @@
 struct host_run {
     uint64_t ref; /* names the run in ACT_START, ACT_STOP and results */
     struct host_rec *rec;
-    uint64_t epoch; /* that it was offered under */
+    uint64_t epoch; /* of the offer */
     uint32_t attempt;
     dw_task task;
     dw_tstate state;
@@ -68,7 +69,7 @@
     uint32_t memory_mb;
     uint64_t queued_ms;
     uint64_t started_ms;  /* 0: not started */
-    uint64_t deadline_ms; /* not started after this */
+    uint64_t deadline_ms; /* it is not started from then on */
     uint64_t sent_ms;     /* result last sent */
     bool stopping;        /* ACT_STOP was issued */
     struct host_cust *cust;
@@ -117,7 +118,8 @@
     bool serving;   /* the backend server accepts work */
     uint64_t announced_ms; /* the backend server's last announcement; 0: none;
                               set by the caller */
-    struct host_rec *recs; /* by submission key; least recently used first */
+    struct host_rec *recs; /* by submission key; ordered by last offer or
+                              revoke */
     struct host_run *runs; /* by ref */
     struct host_cust *customers;
     struct host_kind *kinds;
@@ -149,6 +151,7 @@
  * start records to the new owner. */
 void host_fence(struct host *h, uint64_t now, uint64_t from,
     const dw_fence *fence, struct acts *out);
+/* An owner has received results: removes their runs. */
 void host_result_acked(struct host *h, const dw_result_ack *ack);
 
 /* A started task has ended: DONE, ERROR, STOPPED or UNKNOWN, or NOT_STARTED
@@ -158,8 +161,8 @@
 /* The measured use of a task of this kind; may come after its end. */
 void host_task_usage(
     struct host *h, struct str kind, uint32_t millicores, uint32_t memory_mb);
-/* The backend server accepts work (with that many slots; 0: as before), or
- * stops to; then all queued tasks are released. */
+/* Whether the backend server accepts work, and its slots (0: as before).  If
+ * it does not, all queued tasks are released. */
 void host_set_serving(struct host *h, uint64_t now, bool serving,
     uint32_t slots, struct acts *out);
 /* Returns all queued tasks to their owners as NOT_STARTED. */
@@ -173,6 +176,7 @@
 /* Queries. */
 /* NULL if there is no such run. */
 const struct host_run *host_find_run(const struct host *h, uint64_t ref);
+/* Fills in the slots, the free capacity and the failure rate. */
 void host_load(const struct host *h, dw_load *load);
 /* Tasks queued or running, and results not acknowledged. */
 size_t host_pending(const struct host *h);
--- a/job-int.h
+++ b/job-int.h
@@ -22,7 +22,7 @@
     const struct jobs *j, struct str customer, struct str key);
 /* As job_find(), but removes an expired record and returns NULL. */
 struct job *job_find_unexpired(
-    struct jobs *j, uint64_t now, struct str customer_name, struct str key);
+    struct jobs *j, uint64_t now, struct str customer, struct str key);
 /* Removes the record and frees it. */
 void job_free(struct jobs *j, struct job *job);
 /* Sets the reason unless one is set: the first cause is reported. */
--- a/job.c
+++ b/job.c
@@ -119,16 +119,16 @@
 
 struct job *
 job_add(struct jobs *j, uint64_t now, const struct subkey *sk,
-    uint32_t partition, uint32_t count)
+    uint32_t partition, uint32_t task_count)
 {
     struct job *job = dw_zero(1, sizeof(*job));
 
     job->sk = *sk;
     job->partition = partition;
     job->admitted_ms = now;
-    job->task_count = count;
-    job->tasks = dw_zero(count, sizeof(job->tasks[0]));
-    for (uint32_t i = 0; i < count; i++) {
+    job->task_count = task_count;
+    job->tasks = dw_zero(task_count, sizeof(job->tasks[0]));
+    for (uint32_t i = 0; i < task_count; i++) {
         job->tasks[i].task.index = i;
         job->tasks[i].outcome.index = i;
     }
--- a/job.h
+++ b/job.h
@@ -29,17 +29,17 @@
 
 /* Settings. */
 struct job_cfg {
-    uint32_t retention_ms;     /* W: how long the records of ended jobs stay */
-    uint32_t refuse_ms;        /* least time that a refusal stays recorded */
-    uint32_t max_age_ms;       /* an older request is not admitted; must be
-                                  below refuse_ms */
-    uint32_t clock_skew_ms;    /* bound on callers' clocks, for UUIDv7 keys */
-    uint32_t resend_ms;        /* between resends of an unanswered offer */
-    uint32_t move_ms;          /* a task queued this long may be moved */
-    uint32_t grace_ms;         /* after a job's deadline, time for the outcomes
-                                  of stopped tasks to arrive */
-    uint32_t waiting_max;      /* tasks not yet offered, over all jobs here */
-    uint64_t kept_bytes_max;   /* answers kept for resubmissions, in total */
+    uint32_t retention_ms;   /* W: how long the records of ended jobs stay */
+    uint32_t refuse_ms;      /* R: least time that a refusal stays recorded */
+    uint32_t max_age_ms;     /* an older request is not admitted; must be
+                                below refuse_ms */
+    uint32_t clock_skew_ms;  /* bound on callers' clocks, for UUIDv7 keys */
+    uint32_t resend_ms;      /* between resends of an unanswered offer */
+    uint32_t move_ms;        /* a task queued this long may be moved */
+    uint32_t grace_ms;       /* after a job's deadline, time for the outcomes
+                                of stopped tasks to arrive */
+    uint32_t waiting_max;    /* tasks not yet offered, over all jobs here */
+    uint64_t kept_bytes_max; /* answers kept for resubmissions, in total */
     uint64_t answer_bytes_max; /* results of one job */
     bool no_moves;             /* experiments: never move queued tasks */
     bool no_early_refusal;     /* experiments: admit jobs whose deadline
--- a/jobadmit.c
+++ b/jobadmit.c
@@ -134,7 +134,8 @@
 }
 
 /* After a takeover with records missing, an unknown key may have run under
- * an earlier owner, unless it was created after that owner was silent. */
+ * an earlier owner, unless it was created when that owner could no longer
+ * admit jobs. */
 static bool
 may_have_run(const struct jobs *j, uint64_t now, const struct job_part *p,
     struct str key)
@@ -208,9 +209,9 @@
 
 struct job *
 job_find_unexpired(
-    struct jobs *j, uint64_t now, struct str customer_name, struct str key)
+    struct jobs *j, uint64_t now, struct str customer, struct str key)
 {
-    struct job *job = job_find(j, customer_name, key);
+    struct job *job = job_find(j, customer, key);
 
     if (job != NULL && job->state != DW_A_RUNNING && job->expires_ms <= now) {
         job_free(j, job);
--- a/node.c
+++ b/node.c
@@ -276,8 +276,9 @@
     bool listed = view_member(&n->view, n->self) != NULL;
 
     update_gates(n, now);
-    /* Before mbr_update_members() forgets members that left: a lost owner may
-     * be one whose death is proved. */
+    /* Called before mbr_update_members() removes the peers that are no longer
+     * listed: a takeover is faster if the lost owner's port is known to refuse
+     * connections. */
     own_view_changed(&n->own, now, out);
     mbr_update_members(&n->mbr, &n->view, now);
     report_lost_hosts(n, now, out);
@@ -585,7 +586,7 @@
         view_contract(&n->view, str_bytes(&b->customer));
     struct node_customer *c;
 
-    /* A lender that cannot reach the state could lend at the same time as its
+    /* A lender whose state is out of date could lend at the same time as its
      * successor. */
     if (vc == NULL || !node_fresh(n, now) || !is_lender(n, vc->c.customer)) {
         return;
--- a/node.h
+++ b/node.h
@@ -92,10 +92,11 @@
 
 /* Defaults for every setting but `me` and `seed`. */
 void node_defaults(struct node_cfg *cfg);
+/* Copies cfg. */
 void node_init(struct node *n, const struct node_cfg *cfg);
 void node_free(struct node *n);
 
-/* To be called every 10 to 50 ms.  wall_ms is the wall clock, since
+/* To be called every 10 to 50 ms.  wall_ms is the wall clock, ms since
  * 1970. */
 void node_tick(
     struct node *n, uint64_t now, uint64_t wall_ms, struct acts *out);
@@ -103,14 +104,14 @@
  * still frees it. */
 void node_message(struct node *n, uint64_t now, uint64_t from, dw_msg *msg,
     struct acts *out);
-/* The process `id` is dead: its port refuses connections. */
+/* The port of the process `id` refuses connections: the process is dead. */
 void node_connection_refused(
     struct node *n, uint64_t now, uint64_t id, struct acts *out);
 
 /*
  * Replies of the store.  requested_ms is when the request was sent.
  * node_store_checked() has only the store's revision, node_store_read() the
- * complete state.
+ * complete state; node_store_read_failed(): either request failed.
  */
 void node_store_checked(struct node *n, uint64_t now, uint64_t requested_ms,
     uint64_t rev, struct acts *out);
@@ -130,7 +131,8 @@
 void node_caller_disconnected(struct node *n, uint64_t now, uint64_t request);
 
 /* The backend server, at an agent. */
-/* The outcome of the run `ref`: state, and the code and body it returned. */
+/* The outcome of the run `ref`: its state and the backend server's status code
+ * and body. */
 void node_task_ended(struct node *n, uint64_t now, uint64_t ref,
     dw_tstate state, uint32_t code, struct str body, struct acts *out);
 /* Whether the backend server accepts tasks, and its slots; 0 slots: keep the
--- a/own.c
+++ b/own.c
@@ -6,8 +6,10 @@
 
 /* Records in one message of a hand-over. */
 #define CHUNK_JOBS 64
-/* A hand-over received but not confirmed by the map for so long is dropped. */
+/* After this, a received hand-over that the map has not confirmed is
+ * dropped. */
 #define INCOMING_TIMEOUT_MS 30000
+/* Between repeats of a map write whose result was lost. */
 #define COMMIT_RETRY_MS 1000
 
 void
@@ -219,7 +221,9 @@
     }
 }
 
-/* From when on the previous owner certainly starts and admits nothing. */
+/* The time from which on the previous owner starts and admits nothing.  If its
+ * process is known to be dead, and no owner in between was missed, there is no
+ * need to wait quiet_ms. */
 static uint64_t
 prev_owner_quiet_at(const struct own *o, uint64_t now,
     const struct own_part *part, bool map_skipped)
@@ -290,7 +294,7 @@
 
     if (part->owner == vp->owner && part->epoch == vp->epoch) {
         if (part->state == OWN_HANDING_OVER && part->committing) {
-            /* The map changed otherwise, so the write of ours failed. */
+            /* Another write changed the map, so this one failed. */
             part->committing = false;
         }
         return;
@@ -453,9 +457,9 @@
         tk->unanswered_count + tk->removed_count);
 }
 
-/* Every host is fenced, or after a time more than half of them: an old owner
- * that works on through an outage of the store would learn of the new epoch
- * from one of these. */
+/* Every host is fenced, or after 2 * quiet_ms more than half of them.  An old
+ * owner that continues to work during an outage of the store then learns of
+ * the new epoch from one of these. */
 static bool
 fenced_enough(const struct own *o, const struct own_takeover *tk, uint64_t now)
 {
@@ -480,7 +484,7 @@
     }
 }
 
-/* Returns true once the takeover needs no more attention. */
+/* Returns true once the takeover is finished and can be freed. */
 static bool
 advance_takeover(
     struct own *o, uint64_t now, struct own_takeover *tk, struct acts *out)
@@ -524,15 +528,15 @@
 static void
 count_chunk(struct own_takeover *tk, size_t i, const dw_records *rs)
 {
-    struct own_fenced *w = &tk->unanswered[i];
+    struct own_fenced *fenced = &tk->unanswered[i];
 
     if (rs->chunk == 0) {
-        w->next_chunk = 0;
+        fenced->next_chunk = 0;
     }
-    if (rs->chunk != w->next_chunk) {
+    if (rs->chunk != fenced->next_chunk) {
         return;
     }
-    w->next_chunk++;
+    fenced->next_chunk++;
     if (rs->last) {
         remove_unanswered(tk, i);
     }
--- a/own.h
+++ b/own.h
@@ -40,7 +40,8 @@
                                   partitions are handed over to it */
     uint32_t handover_max;     /* partitions in hand-over at once */
     uint32_t leaving_handover_max; /* the same if this process may own none */
-    uint32_t handover_timeout_ms;  /* aborted unless transferred by then */
+    uint32_t handover_timeout_ms;  /* a hand-over not transferred by then is
+                                     aborted */
     bool no_fence; /* tests only: open without the hosts' start records */
 };
 
@@ -68,7 +69,7 @@
     uint64_t chunk_sent_ms;
     uint64_t handover_start_ms;
     uint32_t chunk;   /* number of the chunk being sent */
-    uint32_t nonce;   /* tells hand-overs apart; goes into the map */
+    uint32_t nonce;   /* identifies the hand-over; also in the map */
     bool transferred; /* the new owner has every chunk */
     bool committing;  /* a map write was sent; whether it took effect shows
                          only in the map */
--- a/ownmap.c
+++ b/ownmap.c
@@ -6,8 +6,8 @@
 
 /* Between two searches for dead owners. */
 #define CHECK_INTERVAL_MS 50
-/* A member not heard from for longer does not count as a contact with its
- * domain. */
+/* A member whose last message is older does not show that its failure domain
+ * can be reached. */
 #define HEARD_MAX_AGE_MS 3000
 
 static bool
@@ -102,8 +102,9 @@
 
 /* --- writing the map --- */
 
-/* A message arrived from the member itself.  That it is not detected dead
- * yet would not do: a process that is cut off detects its peers one by one. */
+/* A message arrived from the member itself.  It is not enough that the member
+ * is not detected dead: a process that is cut off detects its peers one by
+ * one, so some still count as alive. */
 static bool
 heard_recently(const struct own *o, uint64_t now, uint64_t id)
 {
@@ -176,8 +177,8 @@
     buf_free(&b);
 }
 
-/* Deletes dead members in t; lists the agents among them and returns their
- * number. */
+/* Adds the removal of dead members to t; writes the ids of the agents among
+ * them to agents[] and returns their number. */
 static size_t
 delete_dead_members(struct own *o, struct txn *t, uint64_t *agents)
 {
--- a/place.c
+++ b/place.c
@@ -10,7 +10,7 @@
 #define EXAMINED_MAX 64
 /* A load older than this is requested again while tasks wait. */
 #define LOAD_REFRESH_MS 100
-/* Hosts whose failure rates stand for the fleet's. */
+/* Hosts examined for the failure rate of the fleet. */
 #define FLEET_RATE_HOSTS 64
 
 typedef struct place_host *(*pick_fn)(struct place *p, uint64_t now,
@@ -224,7 +224,7 @@
         n -= (int32_t)h->load.slots;
     }
     if (h->id == avoid) {
-        /* After every host with a free slot, before every full one. */
+        /* Ranked after every host with a free slot, before every full one. */
         n = n > 0 ? 0 : n - 1;
     }
     return n;
@@ -406,16 +406,16 @@
 place_apply_hints(struct place *p, uint64_t now, const dw_hints *hints)
 {
     for (u_int i = 0; i < hints->dw_hints_len; i++) {
-        const dw_hint *m = &hints->dw_hints_val[i];
-        struct place_host *h = find_host(p, m->id);
+        const dw_hint *hint = &hints->dw_hints_val[i];
+        struct place_host *h = find_host(p, hint->id);
 
-        if (h == NULL || !h->have_load || now < m->age_ms ||
-            now - m->age_ms <= h->load_ms) {
+        if (h == NULL || !h->have_load || now < hint->age_ms ||
+            now - hint->age_ms <= h->load_ms) {
             continue;
         }
-        h->load.busy = m->used < h->load.slots ? m->used : h->load.slots;
-        h->load.queued = m->used - h->load.busy;
-        h->load_ms = now - m->age_ms;
+        h->load.busy = hint->used < h->load.slots ? hint->used : h->load.slots;
+        h->load.queued = hint->used - h->load.busy;
+        h->load_ms = now - hint->age_ms;
     }
 }
 
--- a/place.h
+++ b/place.h
@@ -35,7 +35,8 @@
     uint32_t scan_max;    /* in fleets up to this size, all are compared */
     uint32_t stale_ms;    /* the tasks of an older load are counted as partly
                              or all ended */
-    uint32_t hints;       /* most loads of other hosts in one message */
+    uint32_t hints;       /* loads of other hosts in one message, at
+                             most */
     uint32_t probation_permille; /* least share of failed tasks for which a
                                     host is put on probation */
     uint32_t probation_min_ms;   /* first probation; doubles each time */
@@ -78,7 +79,7 @@
                         matter */
 };
 
-/* `seed` starts the random choices, which are reproducible. */
+/* `seed` is of the random generator; equal seeds give equal choices. */
 void place_init(struct place *p, const struct place_cfg *cfg, uint64_t seed);
 void place_free(struct place *p);
 /* Updates the hosts from the members, failure domains and failure
@@ -88,7 +89,8 @@
 /* A host reported its load. */
 void place_set_load(
     struct place *p, uint64_t now, uint64_t id, const dw_load *load);
-/* A task ended after `ms`; sets how fast old loads are counted as ended. */
+/* A task ended after `ms`.  The mean run time decides how fast the tasks of an
+ * old load are counted as ended. */
 void place_task_ended(struct place *p, uint32_t ms);
 /* Writes the ids of at most max hosts whose load is to be requested to ids[],
  * and returns their number. */
@@ -112,6 +114,7 @@
 /* The task exceeds the size of every host in service, and all their sizes are
  * known. */
 bool place_never_fits(const struct place *p, const struct place_need *need);
+/* See place_host.in_service. */
 bool place_in_service(const struct place *p, uint64_t id);
 /* Estimated free slots of a host, less the tasks offered to it; may be
  * negative. */
--- a/quota.c
+++ b/quota.c
@@ -10,12 +10,12 @@
 #define BORROW_RETRY_MS 200
 /* Between requests while the lender has nothing more to lend. */
 #define SHORTAGE_BACKOFF_MS 50
-/* Over which the rate of starts is measured. */
+/* Period over which the rate of starts is measured. */
 #define RATE_WINDOW_MS 1000
 /* An account that is unused for longer returns everything. */
 #define IDLE_RETURN_MS 5000
-/* After a borrower got less than it wanted, all hold only what they need for
- * this time. */
+/* How long all borrowers hold only what they need after one of them got less
+ * than it requested. */
 #define SCARCE_MS 3000
 
 /* --- the lender's side --- */
@@ -286,36 +286,36 @@
     ledger->level = m->level;
     ledger->refilled_ms = now;
     for (u_int i = 0; i < m->loans.loans_len; i++) {
-        const dw_loan *from = &m->loans.loans_val[i];
-        struct quota_loan *l = get_loan(ledger, from->borrower);
+        const dw_loan *loan = &m->loans.loans_val[i];
+        struct quota_loan *l = get_loan(ledger, loan->borrower);
 
-        if (l->seq >= from->seq && l->seq != 0) {
+        if (l->seq >= loan->seq && l->seq != 0) {
             continue;
         }
-        l->seq = from->seq;
-        l->share = from->share;
-        l->expires_ms = now + from->left_ms;
-        l->expired = from->expired;
+        l->seq = loan->seq;
+        l->share = loan->share;
+        l->expires_ms = now + loan->left_ms;
+        l->expired = loan->expired;
     }
 }
 
-/* Grant what is wanted, as far as it is not on loan. */
+/* Grant what is requested, as far as it is not on loan. */
 static void
 grant(struct quota_ledger *ledger, const struct contract *c,
-    const dw_share *wanted, dw_share *g)
+    const dw_share *demand, dw_share *granted)
 {
     dw_share lent;
 
     sum_loans(ledger, &lent);
-    g->rate = num_min(
-        wanted->rate, num_sub_sat((uint64_t)c->rate * MILLI, lent.rate));
-    g->burst = num_min(wanted->burst, num_sub_sat(c->burst, lent.burst));
-    g->level = num_min(wanted->level, ledger->level);
-    g->running =
-        num_min(wanted->running, num_sub_sat(c->running, lent.running));
-    g->pending = num_min(wanted->pending,
+    granted->rate = num_min(
+        demand->rate, num_sub_sat((uint64_t)c->rate * MILLI, lent.rate));
+    granted->burst = num_min(demand->burst, num_sub_sat(c->burst, lent.burst));
+    granted->level = num_min(demand->level, ledger->level);
+    granted->running =
+        num_min(demand->running, num_sub_sat(c->running, lent.running));
+    granted->pending = num_min(demand->pending,
         num_sub_sat((uint64_t)c->running + c->queued, lent.pending));
-    ledger->level -= g->level;
+    ledger->level -= granted->level;
 }
 
 /* If the contract was reduced below what is on loan, reduce the borrower's
@@ -340,7 +340,7 @@
 }
 
 static void
-send_loan(uint64_t to, const dw_borrow *b, const dw_share *now_held,
+send_loan(uint64_t to, const dw_borrow *b, const dw_share *held,
     uint32_t valid_ms, bool rebuilding, bool exhausted, bool scarce,
     struct acts *out)
 {
@@ -348,7 +348,7 @@
 
     l->customer = str_to_bytes(str_bytes(&b->customer));
     l->seq = b->seq;
-    l->grant = *now_held;
+    l->grant = *held;
     l->valid_ms = valid_ms;
     l->rebuilding = rebuilding;
     l->exhausted = exhausted;
@@ -356,11 +356,12 @@
 }
 
 static bool
-falls_short(const dw_share *g, const dw_share *wanted)
+falls_short(const dw_share *granted, const dw_share *demand)
 {
-    return g->rate < wanted->rate || g->burst < wanted->burst ||
-           g->level < wanted->level || g->running < wanted->running ||
-           g->pending < wanted->pending;
+    return granted->rate < demand->rate || granted->burst < demand->burst ||
+           granted->level < demand->level ||
+           granted->running < demand->running ||
+           granted->pending < demand->pending;
 }
 
 void
@@ -370,16 +371,16 @@
 {
     struct quota_ledger *ledger = get_ledger(lender, now, c, never_lent);
     uint64_t age = now - ledger->opened_ms;
-    uint64_t settled = lender->cfg.settle_ms;
+    uint64_t settle_ms = lender->cfg.settle_ms;
     bool rebuilding =
-        age < settled + lender->cfg.valid_ms && ledger->opened_ms != 0;
+        age < settle_ms + lender->cfg.valid_ms && ledger->opened_ms != 0;
     struct quota_loan *l;
     bool exhausted;
     dw_share held = b->held;
     dw_share lent;
-    dw_share g = {0};
+    dw_share granted = {0};
 
-    if (ledger->opened_ms != 0 && age < settled) {
+    if (ledger->opened_ms != 0 && age < settle_ms) {
         /* The old lender may still lend; renewing could count a share
          * twice. */
         send_loan(from, b, &held, 0, true, false, false, out);
@@ -405,13 +406,13 @@
     if (!rebuilding) {
         ledger->level = num_min(ledger->level + b->given_level,
             num_sub_sat(c->burst, lent.burst) * MILLI);
-        grant(ledger, c, &b->want, &g);
+        grant(ledger, c, &b->want, &granted);
     }
-    add_share(&l->share, &g);
+    add_share(&l->share, &granted);
     l->expires_ms = now + lender->cfg.valid_ms;
     held = l->share;
-    held.level = g.level;
-    exhausted = falls_short(&g, &b->want);
+    held.level = granted.level;
+    exhausted = falls_short(&granted, &b->want);
     if (exhausted && !rebuilding) {
         ledger->scarce_until_ms = now + SCARCE_MS;
     }
@@ -470,11 +471,11 @@
 static void
 refill(struct quota_account *a, uint64_t now)
 {
-    uint64_t to = num_min(now, a->expires_ms);
+    uint64_t end = num_min(now, a->expires_ms);
 
-    if (to > a->refilled_ms) {
+    if (end > a->refilled_ms) {
         a->held.level = num_min(a->held.burst * MILLI,
-            a->held.level + a->held.rate * (to - a->refilled_ms) / MILLI);
+            a->held.level + a->held.rate * (end - a->refilled_ms) / MILLI);
     }
     a->refilled_ms = now;
 }
@@ -484,14 +485,14 @@
 measure_demand(struct quota_account *a, uint64_t now)
 {
     uint64_t ms = now - a->window_begin_ms;
-    uint64_t seen;
+    uint64_t rate;
 
     if (ms < RATE_WINDOW_MS) {
         return;
     }
-    seen = a->window_starts * MILLI * MILLI / ms;
+    rate = a->window_starts * MILLI * MILLI / ms;
     a->start_rate =
-        seen > a->start_rate ? seen : (3 * a->start_rate + seen) / 4;
+        rate > a->start_rate ? rate : (3 * a->start_rate + rate) / 4;
     a->peak_tasks = a->peak_tasks * 3 / 4;
     a->peak_running = num_max(a->peak_running * 3 / 4, a->running_used);
     a->peak_pending = num_max(a->peak_pending * 3 / 4, a->pending_used);
@@ -508,28 +509,28 @@
 }
 
 /* The share to hold: `times` the peak demand.  Above 1 it allows for growth;
- * it is 1 while other borrowers get less than they want. */
+ * it is 1 while other borrowers get less than they request. */
 static void
-target_share(const struct quota_account *a, uint64_t times, dw_share *t)
+target_share(const struct quota_account *a, uint64_t times, dw_share *target)
 {
-    t->rate = times * (a->start_rate + a->peak_tasks * MILLI / 4);
-    t->burst = times * (a->start_rate / MILLI / 2 + a->peak_tasks);
-    t->level = t->burst * MILLI;
-    t->running = times * a->peak_running;
-    t->pending = times * a->peak_pending;
+    target->rate = times * (a->start_rate + a->peak_tasks * MILLI / 4);
+    target->burst = times * (a->start_rate / MILLI / 2 + a->peak_tasks);
+    target->level = target->burst * MILLI;
+    target->running = times * a->peak_running;
+    target->pending = times * a->peak_pending;
 }
 
 static void
-missing_share(const struct quota_account *a, dw_share *w)
+missing_share(const struct quota_account *a, dw_share *missing)
 {
-    dw_share t;
+    dw_share target;
 
-    target_share(a, a->scarce ? 1 : 2, &t);
-    w->rate = num_sub_sat(t.rate, a->held.rate);
-    w->burst = num_sub_sat(t.burst, a->held.burst);
-    w->level = num_sub_sat(t.level, a->held.level);
-    w->running = num_sub_sat(t.running, a->held.running);
-    w->pending = num_sub_sat(t.pending, a->held.pending);
+    target_share(a, a->scarce ? 1 : 2, &target);
+    missing->rate = num_sub_sat(target.rate, a->held.rate);
+    missing->burst = num_sub_sat(target.burst, a->held.burst);
+    missing->level = num_sub_sat(target.level, a->held.level);
+    missing->running = num_sub_sat(target.running, a->held.running);
+    missing->pending = num_sub_sat(target.pending, a->held.pending);
 }
 
 /* Return what is held far above the demand; slots in use are kept.  *level is
@@ -537,24 +538,24 @@
 static void
 return_surplus(struct quota_account *a, uint64_t now, uint64_t *level)
 {
-    dw_share t = {0};
+    dw_share target = {0};
 
     if (now - a->last_used_ms <= IDLE_RETURN_MS) {
-        target_share(a, a->scarce ? 1 : 4, &t);
+        target_share(a, a->scarce ? 1 : 4, &target);
     }
     *level = 0;
-    a->held.rate = num_min(a->held.rate, t.rate);
-    if (a->held.burst > t.burst) {
-        uint64_t keep = num_min(a->held.level, t.burst * MILLI);
+    a->held.rate = num_min(a->held.rate, target.rate);
+    if (a->held.burst > target.burst) {
+        uint64_t keep = num_min(a->held.level, target.burst * MILLI);
 
         *level = a->held.level - keep;
         a->held.level = keep;
-        a->held.burst = t.burst;
+        a->held.burst = target.burst;
     }
     a->held.running =
-        num_min(a->held.running, num_max(a->running_used, t.running));
+        num_min(a->held.running, num_max(a->running_used, target.running));
     a->held.pending =
-        num_min(a->held.pending, num_max(a->pending_used, t.pending));
+        num_min(a->held.pending, num_max(a->pending_used, target.pending));
 }
 
 static void
@@ -600,8 +601,8 @@
 retry_after_ms(const struct quota_account *a, uint32_t tasks)
 {
     uint64_t rate = num_max(a->held.rate, MILLI);
-    uint64_t lack = num_sub_sat((uint64_t)tasks * MILLI, a->held.level);
-    uint64_t ms = lack * MILLI / rate;
+    uint64_t deficit = num_sub_sat((uint64_t)tasks * MILLI, a->held.level);
+    uint64_t ms = deficit * MILLI / rate;
 
     return (uint32_t)(ms < 100 ? 100 : ms > 60000 ? 60000 : ms);
 }
--- a/quota.h
+++ b/quota.h
@@ -42,7 +42,7 @@
     uint32_t slot_hold_ms; /* after a loan expired its slots stay counted for
                               this long: tasks admitted by a borrower that is
                               no longer heard from may still run */
-    uint32_t wait_ms;      /* for which a request may wait for a share */
+    uint32_t wait_ms;      /* how long a request may wait for a share */
 };
 
 /* Reasons of a refusal: the limit is reached, or the lender is new and does
@@ -71,7 +71,7 @@
     uint64_t handed_to;   /* the successor that received the ledger, the only
                              one that may; 0: none yet */
     uint64_t refilled_ms; /* when level was last brought up to date */
-    uint64_t level;       /* of the bucket that is not on loan */
+    uint64_t level;       /* of the part of the bucket that is not on loan */
     uint64_t scarce_until_ms; /* until then borrowers hold only what they
                                  need */
     struct quota_loan *loans;
@@ -135,15 +135,15 @@
     uint64_t expires_ms;   /* end of the loan */
     uint64_t requested_ms; /* when the last request was sent */
     uint64_t last_used_ms; /* last quota_acquire() */
-    uint64_t lender;       /* to which the last request was sent */
+    uint64_t lender;       /* that the last request was sent to */
     uint32_t seq;          /* of the last request */
-    uint64_t backoff_until_ms; /* request no sooner: the lender had nothing to
-                                  lend */
+    uint64_t backoff_until_ms; /* no request before: the lender had nothing
+                                  to lend */
     bool request_pending;      /* no reply yet */
     bool denied;               /* the last reply did not cover the request */
     uint32_t requested_tasks;  /* the largest job the request was for */
     bool rebuilding;        /* the lender is new and grants nothing new yet */
-    bool scarce;            /* other borrowers got less than they wanted */
+    bool scarce;            /* other borrowers got less than they requested */
     uint64_t peak_tasks;    /* tasks of the largest job; decays */
     uint64_t peak_running;  /* slots needed at once; decays */
     uint64_t peak_pending;  /* the same of pending */
--- a/test/fleet.cc
+++ b/test/fleet.cc
@@ -856,8 +856,8 @@
 {
     std::string all;
 
-    for (auto &f : violations) {
-        all += f + "\n";
+    for (auto &violation : violations) {
+        all += violation + "\n";
     }
     return all;
 }
--- a/test/fleet.hh
+++ b/test/fleet.hh
@@ -165,21 +165,30 @@
     size_t submit(size_t entry, const std::string &customer,
         const std::string &key, uint32_t tasks = 1, uint32_t run_ms = 50,
         uint32_t deadline_ms = 20000, front_kind kind = FRONT_SUBMIT);
+    /* `request` is an index in requests. */
     bool answered(size_t request) const;
+    /* The first answer; throws if there is none. */
     const Answer &answer(size_t request) const;
+    /* Id of the owner of the key's partition, as a running process knows it;
+     * 0: not known. */
     uint64_t owner_of(const std::string &customer, const std::string &key);
+    /* The running process with this id; nullptr: none. */
     Proc *proc_of(uint64_t id);
+    /* In procs. */
     size_t index_of(const Proc &p) const;
 
+    /* Faults; i is an index in procs. */
     void crash(size_t i);
     /* Crashes the process and starts it as a new incarnation. */
     void restart(size_t i);
+    /* Inputs are processed at the end of the pause. */
     void pause(size_t i, uint64_t ms);
     /* Planned stop. */
     void leave(size_t i);
     /* Cuts (or restores) the network between two processes. */
     void cut(size_t a, size_t b, bool on = true);
-    void cut_off(size_t i, bool on = true); /* from all others */
+    /* Cuts a process off from all others, but not from the store. */
+    void cut_off(size_t i, bool on = true);
     /* Planned stop of the agent's backend server. */
     void backend_leave(size_t i);
 
--- a/test/matrix-test.cc
+++ b/test/matrix-test.cc
@@ -44,101 +44,101 @@
 
 struct Fault {
     const char *name;
-    void (*inject)(Fleet &f, const Participants &a);
+    void (*inject)(Fleet &f, const Participants &p);
 };
 
 void
-crash_sender(Fleet &f, const Participants &a)
+crash_sender(Fleet &f, const Participants &p)
 {
-    f.crash(a.from);
+    f.crash(p.from);
 }
 
 void
-crash_receiver(Fleet &f, const Participants &a)
+crash_receiver(Fleet &f, const Participants &p)
 {
-    f.crash(a.to);
+    f.crash(p.to);
 }
 
 void
-restart_receiver(Fleet &f, const Participants &a)
+restart_receiver(Fleet &f, const Participants &p)
 {
-    f.restart(a.to);
+    f.restart(p.to);
 }
 
 void
-crash_both(Fleet &f, const Participants &a)
+crash_both(Fleet &f, const Participants &p)
 {
-    f.crash(a.from);
-    f.crash(a.to);
+    f.crash(p.from);
+    f.crash(p.to);
 }
 
 void
-pause_sender_1(Fleet &f, const Participants &a)
+pause_sender_1(Fleet &f, const Participants &p)
 {
-    f.pause(a.from, 1000);
+    f.pause(p.from, 1000);
 }
 
 void
-pause_receiver_1(Fleet &f, const Participants &a)
+pause_receiver_1(Fleet &f, const Participants &p)
 {
-    f.pause(a.to, 1000);
+    f.pause(p.to, 1000);
 }
 
 void
-pause_sender_5(Fleet &f, const Participants &a)
+pause_sender_5(Fleet &f, const Participants &p)
 {
-    f.pause(a.from, 5000);
+    f.pause(p.from, 5000);
 }
 
 void
-pause_receiver_5(Fleet &f, const Participants &a)
+pause_receiver_5(Fleet &f, const Participants &p)
 {
-    f.pause(a.to, 5000);
+    f.pause(p.to, 5000);
 }
 
 void
-pause_sender_30(Fleet &f, const Participants &a)
+pause_sender_30(Fleet &f, const Participants &p)
 {
-    f.pause(a.from, 30000);
+    f.pause(p.from, 30000);
 }
 
 void
-pause_receiver_30(Fleet &f, const Participants &a)
+pause_receiver_30(Fleet &f, const Participants &p)
 {
-    f.pause(a.to, 30000);
+    f.pause(p.to, 30000);
 }
 
 /* The open connection stops delivering; a new one works 2.5 s later. */
 void
-silent_pair(Fleet &f, const Participants &a)
+silent_pair(Fleet &f, const Participants &p)
 {
-    f.cut(a.from, a.to);
-    f.at(2500, [&f, a] { f.cut(a.from, a.to, false); });
+    f.cut(p.from, p.to);
+    f.at(2500, [&f, p] { f.cut(p.from, p.to, false); });
 }
 
 void
-cut_off_sender(Fleet &f, const Participants &a)
+cut_off_sender(Fleet &f, const Participants &p)
 {
-    f.cut_off(a.from);
-    f.procs[a.from]->store_unreachable = true;
-    f.at(12000, [&f, a] {
-        f.cut_off(a.from, false);
-        f.procs[a.from]->store_unreachable = false;
+    f.cut_off(p.from);
+    f.procs[p.from]->store_unreachable = true;
+    f.at(12000, [&f, p] {
+        f.cut_off(p.from, false);
+        f.procs[p.from]->store_unreachable = false;
     });
 }
 
 void
-cut_off_receiver(Fleet &f, const Participants &a)
+cut_off_receiver(Fleet &f, const Participants &p)
 {
-    cut_off_sender(f, Participants{a.to, a.from});
+    cut_off_sender(f, Participants{p.to, p.from});
 }
 
 /* The peers cannot be reached, but the store can. */
 void
-cut_from_peers(Fleet &f, const Participants &a)
+cut_from_peers(Fleet &f, const Participants &p)
 {
-    f.cut_off(a.to);
-    f.at(12000, [&f, a] { f.cut_off(a.to, false); });
+    f.cut_off(p.to);
+    f.at(12000, [&f, p] { f.cut_off(p.to, false); });
 }
 
 void
@@ -182,9 +182,9 @@
 }
 
 void
-domain_out(Fleet &f, const Participants &a)
+domain_out(Fleet &f, const Participants &p)
 {
-    std::string d = f.procs[a.to]->domain;
+    std::string d = f.procs[p.to]->domain;
 
     f.domain(d, false);
     f.at(12000, [&f, d] { f.domain(d, true); });
@@ -192,43 +192,43 @@
 
 /* The domain is withdrawn while one of its processes is cut off. */
 void
-domain_out_and_cut_off(Fleet &f, const Participants &a)
+domain_out_and_cut_off(Fleet &f, const Participants &p)
 {
-    domain_out(f, a);
-    cut_off_receiver(f, a);
+    domain_out(f, p);
+    cut_off_receiver(f, p);
 }
 
 void
-domain_out_and_paused(Fleet &f, const Participants &a)
+domain_out_and_paused(Fleet &f, const Participants &p)
 {
-    domain_out(f, a);
-    f.pause(a.to, 5000);
+    domain_out(f, p);
+    f.pause(p.to, 5000);
 }
 
 /* The sender is paused for long enough that its partitions are taken over;
  * meanwhile the receiver crashes, too. */
 void
-pause_and_crash(Fleet &f, const Participants &a)
+pause_and_crash(Fleet &f, const Participants &p)
 {
-    f.pause(a.from, 9000);
-    f.at(6000, [&f, a] { f.crash(a.to); });
+    f.pause(p.from, 9000);
+    f.at(6000, [&f, p] { f.crash(p.to); });
 }
 
 void
-pause_and_store_down(Fleet &f, const Participants &a)
+pause_and_store_down(Fleet &f, const Participants &p)
 {
-    f.pause(a.from, 6000);
-    store_down(f, a);
+    f.pause(p.from, 6000);
+    store_down(f, p);
 }
 
 /* Operators withdraw and restore one failure domain in quick succession, while
  * the store loses answers. */
 void
-operators_race(Fleet &f, const Participants &a)
+operators_race(Fleet &f, const Participants &p)
 {
-    std::string d = f.procs[a.to]->domain;
+    std::string d = f.procs[p.to]->domain;
 
-    store_loses_answers(f, a);
+    store_loses_answers(f, p);
     f.domain(d, false);
     f.domain(d, true);
     f.domain(d, false);
@@ -236,29 +236,29 @@
 }
 
 void
-backend_leaves(Fleet &f, const Participants &a)
+backend_leaves(Fleet &f, const Participants &p)
 {
-    size_t i = a.to < f.entries() ? f.entries() : a.to;
+    size_t i = p.to < f.entries() ? f.entries() : p.to;
 
     f.backend_leave(i);
 }
 
 void
-worker_fails_all(Fleet &f, const Participants &a)
+worker_fails_all(Fleet &f, const Participants &p)
 {
-    f.procs[a.to]->fails_all_tasks = true;
+    f.procs[p.to]->fails_all_tasks = true;
 }
 
 void
-planned_stop_sender(Fleet &f, const Participants &a)
+planned_stop_sender(Fleet &f, const Participants &p)
 {
-    f.leave(a.from);
+    f.leave(p.from);
 }
 
 void
-planned_stop_receiver(Fleet &f, const Participants &a)
+planned_stop_receiver(Fleet &f, const Participants &p)
 {
-    f.leave(a.to);
+    f.leave(p.to);
 }
 
 void
@@ -284,10 +284,10 @@
 }
 
 void
-domain_lost(Fleet &f, const Participants &a)
+domain_lost(Fleet &f, const Participants &p)
 {
     for (size_t i = 0; i < f.procs.size(); i++) {
-        if (f.procs[i]->domain == f.procs[a.to]->domain) {
+        if (f.procs[i]->domain == f.procs[p.to]->domain) {
             f.crash(i);
         }
     }
--- a/test/property-test.cc
+++ b/test/property-test.cc
@@ -125,17 +125,17 @@
 }
 
 void
-load(Fleet &f, int jobs, uint64_t gap)
+load(Fleet &f, int jobs, uint64_t gap_ms)
 {
     for (int i = 0; i < jobs; i++) {
-        f.at((uint64_t)i * gap, [&f, i] {
+        f.at((uint64_t)i * gap_ms, [&f, i] {
             std::string key = "k" + std::to_string(i);
 
             f.submit(i % 2, "one", key, 1 + i % 5, 40 + i % 7 * 60, 12000);
         });
         /* Callers stop waiting and resubmit through another entry. */
         if (i % 2 == 0) {
-            f.at((uint64_t)i * gap + 200 + i % 5 * 700, [&f, i] {
+            f.at((uint64_t)i * gap_ms + 200 + i % 5 * 700, [&f, i] {
                 f.submit((i + 1) % 2, "one", "k" + std::to_string(i),
                     1 + i % 5, 40 + i % 7 * 60, 12000);
             });
@@ -174,8 +174,8 @@
     f.net.repeat_rate = loss;
     f.net.delay_rate = loss;
     load(f, 50, 100);
-    for (auto &b : script) {
-        f.at(b.at, [&f, b] { inject(f, b); });
+    for (auto &fault : script) {
+        f.at(fault.at, [&f, fault] { inject(f, fault); });
     }
     f.run(9000);
     f.net.loss_rate = 0;
@@ -265,13 +265,13 @@
     f.run(300);
 
     size_t owner = f.index_of(*f.proc_of(f.owner_of("one", "long")));
-    size_t partner = owner - 2 < 3 ? owner + 3 : owner - 3;
+    size_t host = owner - 2 < 3 ? owner + 3 : owner - 3;
 
-    for (size_t i : {owner, partner}) {
+    for (size_t i : {owner, host}) {
         f.cut_off(i);
         f.procs[i]->store_unreachable = true;
     }
-    f.cut(owner, partner, false);
+    f.cut(owner, host, false);
     f.domain(f.procs[owner]->domain, false);
     f.run(20000);
     return f.violations_text();
@@ -291,11 +291,11 @@
  * treats the second copy of an offer as a new task. */
 TEST(Guard, StartRecords)
 {
-    Disabled records;
+    Disabled disabled;
 
-    records.records = true;
+    disabled.records = true;
     EXPECT_EQ(failures(Disabled(), no_script, "started twice"), 0U);
-    EXPECT_GT(failures(records, no_script, "started twice"), 0U);
+    EXPECT_GT(failures(disabled, no_script, "started twice"), 0U);
 }
 
 /* All slots are busy, so a job waits at its owner and no host has a record of
@@ -357,11 +357,11 @@
  * one has started, and starts it again. */
 TEST(Guard, Fences)
 {
-    Disabled fence;
+    Disabled disabled;
 
-    fence.fence = true;
+    disabled.fence = true;
     EXPECT_EQ(failures(Disabled(), takeover_script, "started twice"), 0U);
-    EXPECT_GT(failures(fence, takeover_script, "started twice"), 0U);
+    EXPECT_GT(failures(disabled, takeover_script, "started twice"), 0U);
 }
 
 } // namespace
--- a/test/quota-test.cc
+++ b/test/quota-test.cc
@@ -67,8 +67,8 @@
 
     ~Bench()
     {
-        for (auto &w : network) {
-            msg_free(w.second.second);
+        for (auto &message : network) {
+            msg_free(message.second.second);
         }
         quota_lender_free(&lender);
         for (auto &e : entries) {
@@ -86,12 +86,12 @@
                          : (random() % 1000 < loss * 1000) ? 2
                                                            : 1;
             for (int i = 0; i < copies; i++) {
-                uint64_t late = loss > 0 && random() % 10 == 0
-                                    ? random() % 3000
-                                    : 1 + random() % 3;
+                uint64_t delay_ms = loss > 0 && random() % 10 == 0
+                                        ? random() % 3000
+                                        : 1 + random() % 3;
                 uint64_t peer = a->to == 100 ? from : a->to;
 
-                network.insert({now + late, {peer, msg_clone(a->msg)}});
+                network.insert({now + delay_ms, {peer, msg_clone(a->msg)}});
             }
             act_free(a);
         }
@@ -119,10 +119,10 @@
     {
         now++;
         while (!network.empty() && network.begin()->first <= now) {
-            auto w = network.begin()->second;
+            auto message = network.begin()->second;
 
             network.erase(network.begin());
-            deliver(w.first, w.second);
+            deliver(message.first, message.second);
         }
         for (size_t i = 0; i < entries.size() && now % 10 == 0; i++) {
             acts as;
@@ -134,7 +134,7 @@
     }
 
     quota_verdict
-    acquire(size_t i, uint32_t tasks, quota_charge *s)
+    acquire(size_t i, uint32_t tasks, quota_charge *charge)
     {
         uint32_t retry = 0;
         acts as;
@@ -142,7 +142,7 @@
 
         acts_init(&as);
         v = quota_acquire(
-            &entries[i], now, STR("one"), 100, tasks, s, &retry, &as);
+            &entries[i], now, STR("one"), 100, tasks, charge, &retry, &as);
         send(&as, i);
         return v;
     }
@@ -181,12 +181,12 @@
     EXPECT_EQ(passed_by_shared_counter(50, 5), 50U);
     for (int ms = 0; ms < 900; ms++) {
         for (size_t i = 0; i < 50; i++) {
-            quota_charge s;
+            quota_charge charge;
 
             if (waiting[i] == 0) {
                 continue;
             }
-            quota_verdict v = b.acquire(i % 5, 1, &s);
+            quota_verdict v = b.acquire(i % 5, 1, &charge);
 
             waiting[i] = v == QUOTA_WAIT;
             passed += v == QUOTA_OK;
@@ -200,15 +200,15 @@
 TEST(Lend, ARefusedAttemptCostsNothing)
 {
     Bench b(2, 1, limits(1, 100, 10));
-    quota_charge s = {};
+    quota_charge charge = {};
     size_t ok = 0;
 
     for (int ms = 0; ms < 1000; ms++) {
-        EXPECT_NE(b.acquire(0, 31, &s), QUOTA_OK); /* pending allows 30 */
+        EXPECT_NE(b.acquire(0, 31, &charge), QUOTA_OK); /* pending allows 30 */
         b.step();
     }
     for (int ms = 0; ms < 400 && ok == 0; ms++) {
-        ok += b.acquire(0, 30, &s) == QUOTA_OK;
+        ok += b.acquire(0, 30, &charge) == QUOTA_OK;
         b.step();
     }
     EXPECT_EQ(ok, 1U);
@@ -221,10 +221,10 @@
     size_t passed = 0;
 
     for (int ms = 0; ms < 2000; ms++) {
-        quota_charge s = {};
+        quota_charge charge = {};
 
-        if (b.acquire(0, 10, &s) == QUOTA_OK) {
-            quota_release(&b.entries[0], b.now, STR("one"), &s, true);
+        if (b.acquire(0, 10, &charge) == QUOTA_OK) {
+            quota_release(&b.entries[0], b.now, STR("one"), &charge, true);
             passed++;
         }
         b.step();
@@ -265,12 +265,12 @@
         }
         if (b.random() % 3 == 0) {
             size_t i = b.random() % 4;
-            quota_charge s = {};
+            quota_charge charge = {};
 
-            if (b.acquire(i, 1 + b.random() % 6, &s) == QUOTA_OK) {
-                started += s.starts;
-                used += s.running;
-                jobs.push_back(Job{b.now + 20 + b.random() % 200, i, s});
+            if (b.acquire(i, 1 + b.random() % 6, &charge) == QUOTA_OK) {
+                started += charge.starts;
+                used += charge.running;
+                jobs.push_back(Job{b.now + 20 + b.random() % 200, i, charge});
             }
         }
         if (used > running) {
