--- a/api.c
+++ b/api.c
@@ -23,7 +23,7 @@
     uint64_t request_id; /* key of daemon.waiters */
     struct web_req *r;
     struct subkey sk;
-    bool is_cancel; /* not_run and failed are successes, then */
+    bool is_cancel; /* a cancellation: not_run and failed are successes */
     UT_hash_handle hh;
 };
 
--- a/conf.c
+++ b/conf.c
@@ -202,37 +202,38 @@
 }
 
 static enum conf_status
-bad_value(const struct parse_ctx *r, const struct toml_value *v,
+bad_value(const struct parse_ctx *parse, const struct toml_value *v,
     const char *allowed, struct err *e)
 {
-    err_set(e, "%s:%u: key '%s': want %s", r->path, v->line, v->key, allowed);
+    err_set(
+        e, "%s:%u: key '%s': want %s", parse->path, v->line, v->key, allowed);
     return CONF_BAD_VALUE;
 }
 
 static enum conf_status
-set_number(const struct parse_ctx *r, const struct setting *s,
+set_number(const struct parse_ctx *parse, const struct setting *s,
     const struct toml_value *v, struct err *e)
 {
     char allowed[96];
-    char *at = (char *)r->c + s->offset;
+    char *field = (char *)parse->c + s->offset;
 
     if (v->kind != TOML_NUMBER || v->number < s->min || v->number > s->max) {
         snprintf(allowed, sizeof(allowed), "a whole number from %lld to %lld",
             (long long)s->min, (long long)s->max);
-        return bad_value(r, v, allowed, e);
+        return bad_value(parse, v, allowed, e);
     }
     if (s->kind == KIND_U16) {
-        *(uint16_t *)at = (uint16_t)v->number;
+        *(uint16_t *)field = (uint16_t)v->number;
     }
     else {
-        *(uint32_t *)at = (uint32_t)v->number;
+        *(uint32_t *)field = (uint32_t)v->number;
     }
     return CONF_OK;
 }
 
 /* Seconds in the file, stored as ms. */
 static enum conf_status
-set_seconds(const struct parse_ctx *r, const struct setting *s,
+set_seconds(const struct parse_ctx *parse, const struct setting *s,
     const struct toml_value *v, struct err *e)
 {
     char allowed[96];
@@ -244,26 +245,27 @@
             "a number of seconds from %lld to "
             "%lld",
             (long long)s->min, (long long)s->max);
-        return bad_value(r, v, allowed, e);
+        return bad_value(parse, v, allowed, e);
     }
-    *(uint32_t *)((char *)r->c + s->offset) = (uint32_t)(n * 1000.0);
+    *(uint32_t *)((char *)parse->c + s->offset) = (uint32_t)(n * 1000.0);
     return CONF_OK;
 }
 
 static enum conf_status
-set_text(const struct parse_ctx *r, const struct setting *s,
+set_text(const struct parse_ctx *parse, const struct setting *s,
     const struct toml_value *v, struct err *e)
 {
     if (v->kind != TOML_TEXT || (int64_t)strlen(v->text) > s->max ||
         (s->check != NULL && !s->check(v->text))) {
-        return bad_value(r, v, s->allowed, e);
+        return bad_value(parse, v, s->allowed, e);
     }
-    str_copy((char *)r->c + s->offset, (size_t)s->max + 1, str_of(v->text));
+    str_copy(
+        (char *)parse->c + s->offset, (size_t)s->max + 1, str_of(v->text));
     return CONF_OK;
 }
 
 static enum conf_status
-set_choice(const struct parse_ctx *r, const struct setting *s,
+set_choice(const struct parse_ctx *parse, const struct setting *s,
     const struct toml_value *v, struct err *e)
 {
     struct buf allowed = {0};
@@ -271,13 +273,13 @@
 
     for (uint32_t i = 0; s->choices[i] != NULL; i++) {
         if (v->kind == TOML_TEXT && strcmp(v->text, s->choices[i]) == 0) {
-            *(uint32_t *)((char *)r->c + s->offset) = i;
+            *(uint32_t *)((char *)parse->c + s->offset) = i;
             buf_free(&allowed);
             return CONF_OK;
         }
         buf_addf(&allowed, "%s\"%s\"", i > 0 ? " or " : "", s->choices[i]);
     }
-    st = bad_value(r, v, allowed.p, e);
+    st = bad_value(parse, v, allowed.p, e);
     buf_free(&allowed);
     return st;
 }
@@ -285,7 +287,7 @@
 static enum conf_status
 set_value(void *ctx, const struct toml_value *v, struct err *e)
 {
-    const struct parse_ctx *r = ctx;
+    const struct parse_ctx *parse = ctx;
 
     for (size_t i = 0; i < SETTING_COUNT; i++) {
         const struct setting *s = &settings[i];
@@ -293,21 +295,21 @@
         if (strcmp(s->key, v->key) != 0) {
             continue;
         }
-        r->seen[i] = true;
+        parse->seen[i] = true;
         switch (s->kind) {
         case KIND_U16:
         case KIND_U32:
-            return set_number(r, s, v, e);
+            return set_number(parse, s, v, e);
         case KIND_SECONDS:
-            return set_seconds(r, s, v, e);
+            return set_seconds(parse, s, v, e);
         case KIND_TEXT:
-            return set_text(r, s, v, e);
+            return set_text(parse, s, v, e);
         case KIND_CHOICE:
-            return set_choice(r, s, v, e);
+            return set_choice(parse, s, v, e);
         }
     }
-    err_set(e, "%s:%u: key '%s' is not known; see dunlinweir.toml(5)", r->path,
-        v->line, v->key);
+    err_set(e, "%s:%u: key '%s' is not known; see dunlinweir.toml(5)",
+        parse->path, v->line, v->key);
     return CONF_BAD_VALUE;
 }
 
@@ -317,9 +319,9 @@
 {
     struct node_cfg *n = &c->node;
 
-    /* An attempt in transit must exceed max_age_ms before the refusal of its
-     * key expires, or it could still be admitted.  The longest time in
-     * transit is 3000 ms. */
+    /* An attempt in transit must be older than max_age_ms before the refusal
+     * of its key expires, or it could still be admitted.  The longest time in
+     * transit is 3000 ms (LINK_TRANSIT_MAX_MS). */
     if (n->job.refuse_ms < n->job.max_age_ms + 4000) {
         err_set(e,
             "%s: key 'jobs.refuse_ms': want at least jobs.max_age_ms "
@@ -392,11 +394,11 @@
 conf_read(struct conf *c, const char *path, struct err *e)
 {
     bool seen[SETTING_COUNT] = {false};
-    struct parse_ctx r = {c, path, seen};
+    struct parse_ctx parse = {c, path, seen};
     enum conf_status st;
 
     set_defaults(c);
-    st = toml_each(path, set_value, &r, e);
+    st = toml_each(path, set_value, &parse, e);
     for (size_t i = 0; i < SETTING_COUNT && st == CONF_OK; i++) {
         if (is_required(c, &settings[i]) && !seen[i]) {
             err_set(e, "%s: key '%s' is missing", path, settings[i].key);
--- a/dunlinweir.c
+++ b/dunlinweir.c
@@ -214,8 +214,8 @@
 static bool
 read_file(const char *path, struct buf *b)
 {
-    bool in = strcmp(path, "-") == 0;
-    FILE *f = in ? stdin : fopen(path, "re");
+    bool use_stdin = strcmp(path, "-") == 0;
+    FILE *f = use_stdin ? stdin : fopen(path, "re");
     char chunk[4096];
     size_t n;
 
@@ -226,7 +226,7 @@
     while ((n = fread(chunk, 1, sizeof(chunk), f)) > 0) {
         buf_add(b, str_make(chunk, n));
     }
-    if (!in) {
+    if (!use_stdin) {
         fclose(f);
     }
     return true;
@@ -337,15 +337,15 @@
 }
 
 static int
-domain_set(const char *name, bool in)
+domain_set(const char *name, bool in_service)
 {
     struct buf path = {0};
     int code;
 
     buf_addf(&path, "/v1/domains/%s", name);
     add_change_query(&path);
-    code = request_and_print(
-        "PUT", path.p, in ? STR("{\"in\":true}") : STR("{\"in\":false}"));
+    code = request_and_print("PUT", path.p,
+        in_service ? STR("{\"in\":true}") : STR("{\"in\":false}"));
     buf_free(&path);
     return code;
 }
@@ -564,17 +564,17 @@
     struct buf path = {0};
     size_t unanswered = 0;
     char *rest = NULL;
-    char *at;
+    char *address;
 
     buf_addf(&path, "/lines?job=%s", id);
-    for (at = strtok_r(list, ",", &rest); at != NULL;
-         at = strtok_r(NULL, ",", &rest)) {
+    for (address = strtok_r(list, ",", &rest); address != NULL;
+         address = strtok_r(NULL, ",", &rest)) {
         char url[URL_MAX];
         struct reply r;
 
-        snprintf(url, sizeof(url), "http://%s", at);
+        snprintf(url, sizeof(url), "http://%s", address);
         if (!call("GET", url, path.p, STR(""), &r) || r.status != 200) {
-            fprintf(stderr, "dunlinweir: no answer from %s\n", at);
+            fprintf(stderr, "dunlinweir: no answer from %s\n", address);
             unanswered++;
         }
         else {
@@ -678,30 +678,31 @@
 run_command(const char **words, size_t n)
 {
     for (size_t i = 0; i < COMMAND_COUNT && words[0] != NULL; i++) {
-        size_t own = commands[i].name != NULL ? 2 : 1;
+        size_t command_words = commands[i].name != NULL ? 2 : 1;
 
-        if (n == own + commands[i].words &&
+        if (n == command_words + commands[i].words &&
             strcmp(words[0], commands[i].group) == 0 &&
-            (own == 1 || (words[1] != NULL &&
-                             strcmp(words[1], commands[i].name) == 0))) {
-            return commands[i].fn(words + own, n - own);
+            (command_words == 1 ||
+                (words[1] != NULL &&
+                    strcmp(words[1], commands[i].name) == 0))) {
+            return commands[i].fn(words + command_words, n - command_words);
         }
     }
     return usage();
 }
 
 /* Sets an option that was not given from the environment variable `name`, or
- * to `other` if that is not set either. */
+ * to `fallback` if that is not set either. */
 static void
-set_fallback(char **at, const char *name, const char *other)
+set_fallback(char **option, const char *name, const char *fallback)
 {
     const char *v = getenv(name);
 
     if (v == NULL) {
-        v = other;
+        v = fallback;
     }
-    if (*at == NULL && v != NULL) {
-        *at = str_dup(str_of(v));
+    if (*option == NULL && v != NULL) {
+        *option = str_dup(str_of(v));
     }
 }
 
--- a/httpc.c
+++ b/httpc.c
@@ -73,14 +73,14 @@
 static void
 finish(struct httpc_req *r, CURLcode code)
 {
-    struct httpc_result d;
-
-    d.status = status_of(r, code);
-    d.http_status = 0;
-    curl_easy_getinfo(r->easy, CURLINFO_RESPONSE_CODE, &d.http_status);
-    d.body = buf_str(&r->in);
-    d.error = r->error[0] != '\0' ? r->error : curl_easy_strerror(code);
-    r->done(r->ctx, &d);
+    struct httpc_result result;
+
+    result.status = status_of(r, code);
+    result.http_status = 0;
+    curl_easy_getinfo(r->easy, CURLINFO_RESPONSE_CODE, &result.http_status);
+    result.body = buf_str(&r->in);
+    result.error = r->error[0] != '\0' ? r->error : curl_easy_strerror(code);
+    r->done(r->ctx, &result);
     free_req(r);
 }
 
@@ -189,7 +189,8 @@
     h->loop = loop;
     h->multi = curl_multi_init();
     ev_init(&h->timer, on_timer);
-    /* Process received responses before timeouts. */
+    /* Process received responses before timeouts, as a call that has its
+     * response has not timed out. */
     ev_set_priority(&h->timer, -1);
     h->timer.data = h;
     curl_multi_setopt(h->multi, CURLMOPT_SOCKETFUNCTION, watch_socket);
--- a/link.h
+++ b/link.h
@@ -56,7 +56,7 @@
 
 /* Counters since link_open(). */
 struct link_stats {
-    uint64_t sent;     /* messages passed to link_send(), less unencodable */
+    uint64_t sent;     /* messages encoded by link_send() */
     uint64_t received; /* messages delivered */
     uint64_t sent_bytes;
     uint64_t received_bytes;
--- a/log.c
+++ b/log.c
@@ -23,9 +23,9 @@
 #define WRITE_MAX_BYTES 4096U
 
 /*
- * Limits of one event's lines per second.  Events of success are only sampled,
- * so that under load the decisions to refuse, retry, stop or move work are
- * logged completely and processor time remains for callers.
+ * Limits of one event's lines per second.  Events that report success are only
+ * sampled, so that under load the decisions to refuse, retry, stop or move
+ * work are logged completely and processor time remains for callers.
  */
 #define LINES_PER_SECOND 50U
 #define SAMPLED_LINES_PER_SECOND 5U
@@ -299,20 +299,20 @@
 static bool
 within_limit(const char *event, unsigned *suppressed)
 {
-    struct event_rate *k = find_event_rate(event);
+    struct event_rate *rate = find_event_rate(event);
     time_t now = time(NULL);
 
-    if (k->second != now) {
-        *suppressed = k->suppressed;
-        k->second = now;
-        k->written = 0;
-        k->suppressed = 0;
+    if (rate->second != now) {
+        *suppressed = rate->suppressed;
+        rate->second = now;
+        rate->written = 0;
+        rate->suppressed = 0;
     }
-    if (k->written >= line_limit(event)) {
-        k->suppressed++;
+    if (rate->written >= line_limit(event)) {
+        rate->suppressed++;
         return false;
     }
-    k->written++;
+    rate->written++;
     return true;
 }
 
--- a/ops.c
+++ b/ops.c
@@ -166,9 +166,9 @@
 }
 
 static void
-reply_conflict(struct op *op, json_t *other)
+reply_conflict(struct op *op, json_t *newest_entry)
 {
-    char *text = json_dumps(other, JSON_COMPACT);
+    char *text = json_dumps(newest_entry, JSON_COMPACT);
     struct buf b = {0};
 
     buf_addf(&b,
@@ -197,7 +197,7 @@
     struct op *op = ctx;
     bool own = false;
     uint64_t rev = 0;
-    json_t *other;
+    json_t *newest_entry;
 
     op->store_pending = false;
     if (st != STORE_OK) {
@@ -205,12 +205,12 @@
         op->next_ms = proc_now() + VERIFY_RETRY_MS;
         return;
     }
-    other = find_audit_entry(all, op, &own, &rev);
+    newest_entry = find_audit_entry(all, op, &own, &rev);
     if (own) {
         start_propagation(op, rev);
     }
     else if (op->conflicted) {
-        reply_conflict(op, other);
+        reply_conflict(op, newest_entry);
     }
     else {
         /* Not written yet.  If the first attempt is still in transit, only
@@ -218,7 +218,7 @@
          * audit entry does not exist. */
         write_change(op);
     }
-    json_decref(other);
+    json_decref(newest_entry);
 }
 
 static void
@@ -368,11 +368,11 @@
 static void
 tick_propagation(struct op *op, uint64_t now)
 {
-    bool late = now - op->phase_start_ms >= PROPAGATION_TIMEOUT_MS;
+    bool timed_out = now - op->phase_start_ms >= PROPAGATION_TIMEOUT_MS;
     json_t *outdated;
 
     if (sync_majority_rev(&op->d->node.sync) < op->written_rev) {
-        if (late) {
+        if (timed_out) {
             finish_with_problem(op, 504, "not_held",
                 "the change is written but no majority of failure domains "
                 "holds it yet; it comes into force when they reconnect");
@@ -384,7 +384,7 @@
         return;
     }
     outdated = list_outdated(op, now);
-    if (json_array_size(outdated) == 0 || late) {
+    if (json_array_size(outdated) == 0 || timed_out) {
         finish_accepted(op, outdated, now);
     }
     json_decref(outdated);
@@ -437,11 +437,12 @@
 /* --- starting a change --- */
 
 static const char *
-header_or_default(const struct web_req *r, const char *name, const char *other)
+header_or_default(
+    const struct web_req *r, const char *name, const char *fallback)
 {
     const char *v = web_header(r, name);
 
-    return v != NULL && v[0] != '\0' ? v : other;
+    return v != NULL && v[0] != '\0' ? v : fallback;
 }
 
 static char *
--- a/proto.x
+++ b/proto.x
@@ -497,7 +497,7 @@
  * Operator state (configuration and withdrawals), exchanged between entries
  * while one of them cannot reach the platform's store.  as_of is the store's
  * revision up to which the sender's state is complete; a request (question is
- * true) has no other field set.
+ * true) has only as_of.
  */
 struct dw_news {
     bool question;
--- a/store.c
+++ b/store.c
@@ -56,12 +56,12 @@
 }
 
 static json_t *
-parse_body(const struct httpc_result *d)
+parse_body(const struct httpc_result *result)
 {
-    if (d->status != HTTPC_OK || d->http_status != 200) {
+    if (result->status != HTTPC_OK || result->http_status != 200) {
         return NULL;
     }
-    return json_loadb(d->body.p, d->body.n, 0, NULL);
+    return json_loadb(result->body.p, result->body.n, 0, NULL);
 }
 
 static bool
@@ -113,23 +113,25 @@
 }
 
 static enum store_status
-record_failure(struct etcd *s, const char *what, const struct httpc_result *d)
+record_failure(
+    struct etcd *s, const char *what, const struct httpc_result *result)
 {
     s->base.stats.failures++;
     log_event(LOG_LEVEL_DEBUG, "store_failed", "call=%s code=%ld error=\"%s\"",
-        what, d->http_status, d->error);
-    return d->status == HTTPC_NOT_SENT ? STORE_UNREACHABLE : STORE_UNKNOWN;
+        what, result->http_status, result->error);
+    return result->status == HTTPC_NOT_SENT ? STORE_UNREACHABLE
+                                            : STORE_UNKNOWN;
 }
 
 static void
-on_check(void *ctx, const struct httpc_result *d)
+on_check(void *ctx, const struct httpc_result *result)
 {
     struct etcd_call *c = ctx;
-    json_t *o = parse_body(d);
+    json_t *o = parse_body(result);
     json_t *rows = json_object_get(o, "kvs");
 
     if (o == NULL) {
-        record_failure(c->s, "check", d);
+        record_failure(c->s, "check", result);
         c->rev(c->ctx, STORE_UNREACHABLE, 0);
     }
     else {
@@ -141,14 +143,14 @@
 }
 
 static void
-on_read(void *ctx, const struct httpc_result *d)
+on_read(void *ctx, const struct httpc_result *result)
 {
     struct etcd_call *c = ctx;
-    json_t *o = parse_body(d);
+    json_t *o = parse_body(result);
     dw_state st = {0};
 
     if (o == NULL || !read_state(o, &st)) {
-        record_failure(c->s, "read", d);
+        record_failure(c->s, "read", result);
         c->all(c->ctx, STORE_UNREACHABLE, NULL);
     }
     else {
@@ -160,13 +162,13 @@
 }
 
 static void
-on_txn(void *ctx, const struct httpc_result *d)
+on_txn(void *ctx, const struct httpc_result *result)
 {
     struct etcd_call *c = ctx;
-    json_t *o = parse_body(d);
+    json_t *o = parse_body(result);
 
     if (o == NULL) {
-        c->txn(c->ctx, record_failure(c->s, "txn", d), 0);
+        c->txn(c->ctx, record_failure(c->s, "txn", result), 0);
     }
     else if (json_is_true(json_object_get(o, "succeeded"))) {
         c->txn(c->ctx, STORE_OK,
@@ -333,8 +335,9 @@
         s->retry_s = WATCH_RETRY_MIN_S;
     }
     if (json_array_size(json_object_get(result, "events")) > 0) {
-        /* libcurl accepts no new call inside its own callback, and on_change
-         * usually starts a read, so it runs from a timer. */
+        /* libcurl accepts no new call inside its own callback: httpc_start()
+         * would abort there, and on_change usually starts a read.  It
+         * therefore runs from a timer. */
         ev_timer_start(s->loop, &s->notify_timer);
     }
     json_decref(o);
@@ -368,11 +371,11 @@
 }
 
 static void
-on_watch_done(void *ctx, const struct httpc_result *d)
+on_watch_done(void *ctx, const struct httpc_result *result)
 {
     struct etcd *s = ctx;
 
-    log_event(LOG_LEVEL_DEBUG, "watch_ended", "error=\"%s\"", d->error);
+    log_event(LOG_LEVEL_DEBUG, "watch_ended", "error=\"%s\"", result->error);
     s->watch = NULL;
     s->watch_line.n = 0;
     ev_timer_set(&s->retry_timer, s->retry_s, 0.0);
--- a/test/link-test.cc
+++ b/test/link-test.cc
@@ -210,14 +210,14 @@
     ASSERT_EQ(
         link_open(&b.l, other, 2, "127.0.0.1", port_of(11), &events, &b, &why),
         LINK_OK);
-    auto both = [&](int rounds) {
+    auto run_both = [&](int rounds) {
         for (int i = 0; i < rounds; i++) {
             run(0.01);
             ev_run(other, EVRUN_NOWAIT);
         }
     };
     send(a, 2, 1);
-    both(20);
+    run_both(20);
     ASSERT_EQ(b.received.size(), 1U);
     send(a, 2, 2);
     run(0.1);
--- a/test/web-test.cc
+++ b/test/web-test.cc
@@ -154,9 +154,9 @@
         until([&] { return recv(idle, &byte, 1, MSG_DONTWAIT) == 0; }));
     web_reply(held_request, 200, "text/plain", STR("late"), 0);
     held_request = nullptr;
-    std::string answer = read_until(busy, "late");
-    EXPECT_NE(answer.find("late"), std::string::npos);
-    EXPECT_NE(answer.find("close"), std::string::npos) << answer;
+    std::string reply = read_until(busy, "late");
+    EXPECT_NE(reply.find("late"), std::string::npos);
+    EXPECT_NE(reply.find("close"), std::string::npos) << reply;
     close(idle);
     close(busy);
 }
--- a/toml.cc
+++ b/toml.cc
@@ -1,4 +1,4 @@
-/* C++, as Debian has no C library for TOML. */
+/* The only C++ outside test/: Debian has no C library for TOML. */
 #include "conf.h"
 
 #include <string>
--- a/trail.c
+++ b/trail.c
@@ -7,17 +7,17 @@
 
 #define TEXT_MAX 160
 
-struct note {
+struct trail_event {
     uint64_t wall_ms;
     uint64_t hash; /* of customer and key */
     char text[TEXT_MAX];
 };
 
 struct trail {
-    struct note *notes;
+    struct trail_event *notes;
     size_t max;
-    size_t next;  /* index of the next note */
-    size_t count; /* notes in use */
+    size_t next;  /* index of the next event */
+    size_t count; /* events stored */
 };
 
 static uint64_t
@@ -47,7 +47,7 @@
 trail_add(struct trail *t, uint64_t wall_ms, struct str customer,
     struct str key, struct str text)
 {
-    struct note *n = &t->notes[t->next];
+    struct trail_event *n = &t->notes[t->next];
 
     n->wall_ms = wall_ms;
     n->hash = submission_hash(customer, key);
@@ -66,7 +66,7 @@
     char *text;
 
     for (size_t i = 0; i < t->count; i++) {
-        const struct note *n = &t->notes[(first + i) % t->max];
+        const struct trail_event *n = &t->notes[(first + i) % t->max];
 
         if (n->hash == hash) {
             json_array_append_new(
--- a/trail.h
+++ b/trail.h
@@ -1,7 +1,7 @@
 /*
  * trail - event history of submissions, for `dunlinweir explain`
  *
- * A ring buffer of notes in memory; the oldest are overwritten.
+ * A ring buffer of events in memory; the oldest are overwritten.
  */
 #ifndef TRAIL_H
 #define TRAIL_H
@@ -16,14 +16,14 @@
 
 struct trail;
 
-/* max is the capacity in notes. */
+/* max is the capacity in events. */
 struct trail *trail_new(size_t max);
 void trail_free(struct trail *t);
-/* Add a note on the submission key of customer.  wall_ms is the time in ms
+/* Add an event of customer's submission key.  wall_ms is the time in ms
  * since the epoch; text is truncated to 159 bytes. */
 void trail_add(struct trail *t, uint64_t wall_ms, struct str customer,
     struct str key, struct str text);
-/* Append one submission's notes, oldest first, as a JSON array of
+/* Append one submission's events, oldest first, as a JSON array of
  * {"ms","text"}. */
 void trail_format(const struct trail *t, struct str customer, struct str key,
     struct buf *out);
--- a/web.c
+++ b/web.c
@@ -29,9 +29,9 @@
     char *path;
     struct buf body;
     bool too_large; /* the body exceeds cfg.body_max */
-    bool handled;   /* the handler was called */
+    bool handled;   /* passed to the handler, or rejected */
     bool replied;
-    bool suspended;      /* in the library, until the reply */
+    bool suspended;      /* by libmicrohttpd, until the reply */
     ev_io disconnect_io; /* detects a disconnect; active while suspended */
     struct MHD_Response *response; /* not yet queued; else NULL */
     unsigned status;
