--- a/dwfleet.c
+++ b/dwfleet.c
@@ -93,12 +93,13 @@
 }
 
 static struct ld_proc *
-add_proc(struct ld_fleet *f, const char *name, uint32_t http, uint32_t domain)
+add_proc(
+    struct ld_fleet *f, const char *name, uint32_t http_port, uint32_t domain)
 {
     struct ld_proc *p = &f->procs[f->count++];
 
     str_copy(p->name, sizeof(p->name), str_of(name));
-    p->http_port = http;
+    p->http_port = http_port;
     p->domain = domain;
     return p;
 }
@@ -114,9 +115,9 @@
 
 static void
 add_daemon(struct ld_fleet *f, const char *role, const char *name, uint32_t i,
-    uint32_t port, uint32_t http)
+    uint32_t port, uint32_t http_port)
 {
-    struct ld_proc *p = add_proc(f, name, http, i);
+    struct ld_proc *p = add_proc(f, name, http_port, i);
     struct buf path = {0};
     FILE *out;
 
@@ -132,8 +133,8 @@
         "http_port = %u\n[store]\nurl = \"http://127.0.0.1:%u\"\n"
         "[operators]\ntoken = \"" OPERATORS_TOKEN
         "\"\n[worker]\nslots = %u\n%s",
-        role, name, ld_domain_name(i), i / 3 + 1, port, http, f->x->base_port,
-        f->x->slots, f->x->extra);
+        role, name, ld_domain_name(i), i / 3 + 1, port, http_port,
+        f->x->base_port, f->x->slots, f->x->extra);
     fclose(out);
     p->argv[0] = str_dup(STR("build/dunlinweird"));
     p->argv[1] = str_dup(STR("-f"));
--- a/dwload.c
+++ b/dwload.c
@@ -119,9 +119,9 @@
 };
 
 static enum conf_status
-bad_value(const struct toml_value *v, struct err *e, const char *want)
+bad_value(const struct toml_value *v, struct err *e, const char *expected)
 {
-    err_set(e, "line %u: key '%s': expected %s", v->line, v->key, want);
+    err_set(e, "line %u: key '%s': expected %s", v->line, v->key, expected);
     return CONF_BAD_VALUE;
 }
 
@@ -230,11 +230,11 @@
     }
     json_array_foreach (tasks, i, t) {
         const char *body = json_string_value(json_object_get(t, "body"));
-        char want[128];
+        char expected[128];
 
-        snprintf(want, sizeof(want), "ran customer%u %s %zu", job->customer,
-            job->key, i);
-        if (body == NULL || strcmp(body, want) != 0) {
+        snprintf(expected, sizeof(expected), "ran customer%u %s %zu",
+            job->customer, job->key, i);
+        if (body == NULL || strcmp(body, expected) != 0) {
             return false;
         }
     }
@@ -533,7 +533,7 @@
 {
     struct load_run *l = w->data;
     double now = elapsed(l);
-    bool sent;
+    bool all_sent;
 
     (void)revents;
     update_faults(l, now);
@@ -554,16 +554,18 @@
            l->trace.jobs[l->cancels[l->next_cancel]].cancel_at_ms <= now) {
         cancel(l, &l->trace.jobs[l->cancels[l->next_cancel++]]);
     }
-    sent = l->next_job == l->trace.job_count &&
-           l->next_resubmit == l->resubmit_count &&
-           l->next_cancel == l->cancel_count;
-    if (sent && (l->pending == 0 ||
-                    now > l->trace.jobs[l->trace.job_count - 1].arrival_ms +
-                              l->x->deadline_ms + ANSWER_GRACE_MS)) {
+    all_sent = l->next_job == l->trace.job_count &&
+               l->next_resubmit == l->resubmit_count &&
+               l->next_cancel == l->cancel_count;
+    if (all_sent &&
+        (l->pending == 0 ||
+            now > l->trace.jobs[l->trace.job_count - 1].arrival_ms +
+                      l->x->deadline_ms + ANSWER_GRACE_MS)) {
         ev_break(loop, EVBREAK_ALL);
     }
 }
 
+/* For the comparison functions, as qsort(3) passes no context. */
 static struct ld_trace *sorted_trace;
 
 static int
@@ -638,7 +640,7 @@
 {
     struct curl_slist *headers = curl_slist_append(NULL, "Expect:");
     char line[96];
-    double began;
+    double start_ms;
     double ms;
 
     snprintf(line, sizeof(line), "Idempotency-Key: %s", key);
@@ -656,9 +658,10 @@
     curl_easy_setopt(c, CURLOPT_HTTPHEADER, headers);
     curl_easy_setopt(c, CURLOPT_POSTFIELDS, body);
     curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, discard);
-    began = clock_ms(CLOCK_MONOTONIC);
-    ms = curl_easy_perform(c) == CURLE_OK ? clock_ms(CLOCK_MONOTONIC) - began
-                                          : -1;
+    start_ms = clock_ms(CLOCK_MONOTONIC);
+    ms = curl_easy_perform(c) == CURLE_OK
+             ? clock_ms(CLOCK_MONOTONIC) - start_ms
+             : -1;
     curl_slist_free_all(headers);
     return ms;
 }
@@ -669,32 +672,32 @@
     size_t n = l->x->idle_calls;
     double *direct = dw_zero(n, sizeof(double));
     double *through = dw_zero(n, sizeof(double));
-    CURL *a = curl_easy_init();
-    CURL *b = curl_easy_init();
-    char url_a[64];
-    char url_b[64];
-    size_t bad_count;
+    CURL *direct_curl = curl_easy_init();
+    CURL *through_curl = curl_easy_init();
+    char direct_url[64];
+    char through_url[64];
+    size_t failed_count;
 
-    snprintf(url_a, sizeof(url_a), "http://127.0.0.1:%u/run",
+    snprintf(direct_url, sizeof(direct_url), "http://127.0.0.1:%u/run",
         l->x->base_port + 500);
-    snprintf(url_b, sizeof(url_b), "http://127.0.0.1:%u/v1/jobs",
+    snprintf(through_url, sizeof(through_url), "http://127.0.0.1:%u/v1/jobs",
         l->x->base_port + 200);
     for (size_t i = 0; i < n; i++) {
         struct timespec pause = {0, 10000000};
         char key[40];
 
         ld_format_key(key, (uint64_t)clock_ms(CLOCK_REALTIME), i, mix64(i, 1));
-        direct[i] = timed_call(a, url_a, "0", key);
-        through[i] = timed_call(b, url_b,
+        direct[i] = timed_call(direct_curl, direct_url, "0", key);
+        through[i] = timed_call(through_curl, through_url,
             "{\"tasks\":[{\"kind\":\"grade\",\"payload\":\"0\"}]}", key);
         nanosleep(&pause, NULL);
     }
-    curl_easy_cleanup(a);
-    curl_easy_cleanup(b);
-    bad_count = ld_report_idle(l->x, direct, through, n, dir);
+    curl_easy_cleanup(direct_curl);
+    curl_easy_cleanup(through_curl);
+    failed_count = ld_report_idle(l->x, direct, through, n, dir);
     free(direct);
     free(through);
-    return bad_count;
+    return failed_count;
 }
 
 static int
--- a/dwload.h
+++ b/dwload.h
@@ -38,9 +38,9 @@
 };
 
 struct ld_fault {
-    uint32_t kind; /* enum ld_fault_kind */
-    uint32_t start_ms;
-    uint32_t duration_ms;
+    uint32_t kind;            /* enum ld_fault_kind */
+    uint32_t start_ms;        /* since the start of the experiment */
+    uint32_t duration_ms;     /* 0: not cleared */
     char target[LD_NAME_MAX]; /* process or failure domain */
 };
 
@@ -59,19 +59,19 @@
     uint32_t seconds;
     uint32_t load_permille;   /* mean use of all slots */
     uint32_t single_permille; /* share of jobs that have one task */
-    uint32_t job_min;
+    uint32_t job_min;         /* tasks of the other jobs */
     uint32_t job_max;
-    uint32_t run_min_ms;
+    uint32_t run_min_ms; /* run time of a task */
     uint32_t run_median_ms;
     uint32_t run_max_ms;
     uint32_t burst_every_ms;    /* 0: no bursts */
     uint32_t burst_calls;       /* jobs in a burst */
     uint32_t resubmit_permille; /* share sent again to another entry */
-    uint32_t resubmit_ms;       /* longest delay of a resubmission; 0: none */
-    uint32_t cancel_permille;   /* share of jobs cancelled by the caller */
+    uint32_t resubmit_ms;     /* longest delay of a resubmission; 0: at once */
+    uint32_t cancel_permille; /* share of jobs cancelled by the caller */
     uint32_t misdeclared_permille; /* share that uses far more than declared */
-    uint32_t deadline_ms;
-    char extra[512]; /* lines added to every daemon's settings */
+    uint32_t deadline_ms;          /* of each job, from its submission */
+    char extra[512];               /* lines added to every daemon's settings */
     struct ld_fault faults[LD_FAULTS_MAX];
     size_t fault_count;
 };
@@ -173,7 +173,8 @@
  * dir.  Return the number of violations.  start_boot_ms is the boot clock when
  * the experiment started. */
 size_t ld_report_load(const struct ld_experiment *x, struct ld_trace *t,
-    struct ld_fleet *f, const char *dir, double elapsed_ms, uint64_t epoch_ms);
+    struct ld_fleet *f, const char *dir, double elapsed_ms,
+    uint64_t start_boot_ms);
 /* Write the report of an idle fleet: response times in ms of direct requests
  * to a backend server and of the same requests through an entry; negative if
  * the request failed.  Return the number of failed pairs. */
--- a/dwreport.c
+++ b/dwreport.c
@@ -44,12 +44,12 @@
 };
 
 static void
-report_violation(struct report *r, const char *what, const char *who)
+report_violation(struct report *r, const char *what, const char *subject)
 {
     r->violations++;
     if (r->violations <= LD_VIOLATIONS_SHOWN) {
-        fprintf(stderr, "VIOLATION %s: %s\n", what, who);
-        fprintf(r->md, "- violation: %s: %s\n", what, who);
+        fprintf(stderr, "VIOLATION %s: %s\n", what, subject);
+        fprintf(r->md, "- violation: %s: %s\n", what, subject);
     }
 }
 
@@ -163,7 +163,7 @@
 }
 
 static void
-check_domains(struct report *r)
+check_starts(struct report *r)
 {
     struct task_starts *s;
 
@@ -185,7 +185,7 @@
     }
 }
 
-/* --- figures --- */
+/* --- measurements --- */
 
 static int
 by_double(const void *a, const void *b)
@@ -228,7 +228,7 @@
 static void
 write_response(struct report *r)
 {
-    double *over = dw_zero(r->trace->job_count, sizeof(double));
+    double *ratios = dw_zero(r->trace->job_count, sizeof(double));
     double *added = dw_zero(r->trace->job_count, sizeof(double));
     size_t n = 0;
 
@@ -241,17 +241,17 @@
              * counts. */
             double ms = job->submissions[0].answered_ms - job->arrival_ms;
 
-            over[n] = ms / job->ideal_response_ms;
+            ratios[n] = ms / job->ideal_response_ms;
             added[n++] = ms - job->ideal_response_ms;
         }
     }
     write_line(r,
         "- response over the ideal: median %.3f, p90 %.3f, p99 %.3f; "
         "added ms: median %.1f, p99 %.1f (%zu complete)\n",
-        quantile(over, n, 0.5), quantile(over, n, 0.9),
-        quantile(over, n, 0.99), quantile(added, n, 0.5),
+        quantile(ratios, n, 0.5), quantile(ratios, n, 0.9),
+        quantile(ratios, n, 0.99), quantile(added, n, 0.5),
         quantile(added, n, 0.99), n);
-    free(over);
+    free(ratios);
     free(added);
 }
 
@@ -290,7 +290,7 @@
 write_refusals(struct report *r)
 {
     struct refusal *all = NULL;
-    struct refusal *one;
+    struct refusal *refusal;
 
     for (size_t i = 0; i < r->trace->job_count * 2; i++) {
         const struct ld_submission *submission =
@@ -303,19 +303,19 @@
         }
         snprintf(name, sizeof(name), "%d/%s", (int)submission->state,
             submission->reason);
-        HASH_FIND_STR(all, name, one);
-        if (one == NULL) {
-            one = dw_zero(1, sizeof(*one));
-            str_copy(one->name, sizeof(one->name), str_of(name));
-            HASH_ADD_STR(all, name, one);
+        HASH_FIND_STR(all, name, refusal);
+        if (refusal == NULL) {
+            refusal = dw_zero(1, sizeof(*refusal));
+            str_copy(refusal->name, sizeof(refusal->name), str_of(name));
+            HASH_ADD_STR(all, name, refusal);
         }
-        one->count++;
+        refusal->count++;
     }
     while (all != NULL) {
-        one = all;
-        write_line(r, "  - %s: %zu\n", one->name, one->count);
-        HASH_DEL(all, one);
-        free(one);
+        refusal = all;
+        write_line(r, "  - %s: %zu\n", refusal->name, refusal->count);
+        HASH_DEL(all, refusal);
+        free(refusal);
     }
 }
 
@@ -400,17 +400,17 @@
 }
 
 static void
-write_role(
-    struct report *r, const char *name, struct buf *texts, size_t n, double s)
+write_role(struct report *r, const char *name, struct buf *texts, size_t n,
+    double seconds)
 {
     double cpu = (double)sum_metric(texts, n, "dunlinweir_cpu_us_total");
 
     write_line(r,
         "- per %s, mean of %zu: %.2f %% of a core, %.1f KB/s sent, %.1f MB; "
         "%.1f us of processor a task\n",
-        name, n, cpu / 1e4 / s / (double)n,
-        (double)sum_metric(texts, n, "dunlinweir_bytes_sent_total") / 1e3 / s /
-            (double)n,
+        name, n, cpu / 1e4 / seconds / (double)n,
+        (double)sum_metric(texts, n, "dunlinweir_bytes_sent_total") / 1e3 /
+            seconds / (double)n,
         (double)sum_metric(texts, n, "dunlinweir_resident_kb") / 1e3 /
             (double)n,
         cpu / (double)(r->trace->task_count > 0 ? r->trace->task_count : 1));
@@ -420,8 +420,8 @@
 write_processes(struct report *r, double elapsed_ms)
 {
     struct buf texts[LD_PROCS_MAX];
-    double s = elapsed_ms / 1000;
-    uint64_t calls;
+    double seconds = elapsed_ms / 1000;
+    uint64_t store_calls;
     size_t agents;
     size_t n;
 
@@ -429,13 +429,14 @@
     agents = read_metrics(r, 'a', texts);
     n = agents + read_metrics(r, 'e', texts + agents);
     write_messages(r, texts, n);
-    write_role(r, "agent", texts, agents, s);
-    write_role(r, "entry", texts + agents, n - agents, s);
-    calls = sum_metric(texts, n, "dunlinweir_store_reads_total") +
-            sum_metric(texts, n, "dunlinweir_store_txns_total") +
-            sum_metric(texts, n, "dunlinweir_store_watches_total");
+    write_role(r, "agent", texts, agents, seconds);
+    write_role(r, "entry", texts + agents, n - agents, seconds);
+    store_calls = sum_metric(texts, n, "dunlinweir_store_reads_total") +
+                  sum_metric(texts, n, "dunlinweir_store_txns_total") +
+                  sum_metric(texts, n, "dunlinweir_store_watches_total");
     write_line(r, "- %.1f store calls/s, %" PRIu64 " takeovers\n",
-        (double)calls / s, sum_metric(texts, n, "dunlinweir_takeovers_total"));
+        (double)store_calls / seconds,
+        sum_metric(texts, n, "dunlinweir_takeovers_total"));
     for (size_t i = 0; i < n; i++) {
         buf_free(&texts[i]);
     }
@@ -574,10 +575,13 @@
 
 size_t
 ld_report_load(const struct ld_experiment *x, struct ld_trace *t,
-    struct ld_fleet *f, const char *dir, double elapsed_ms, uint64_t epoch_ms)
+    struct ld_fleet *f, const char *dir, double elapsed_ms,
+    uint64_t start_boot_ms)
 {
-    struct report r = {
-        .x = x, .trace = t, .fleet = f, .start_boot_ms = (double)epoch_ms};
+    struct report r = {.x = x,
+        .trace = t,
+        .fleet = f,
+        .start_boot_ms = (double)start_boot_ms};
     char path[192];
 
     snprintf(path, sizeof(path), "%s/report.md", dir);
@@ -600,7 +604,7 @@
     for (size_t i = 0; i < t->job_count; i++) {
         check_job(&r, &t->jobs[i]);
     }
-    check_domains(&r);
+    check_starts(&r);
     write_response(&r);
     write_goodput(&r, elapsed_ms);
     write_answers(&r);
@@ -624,16 +628,16 @@
 {
     struct report r = {.x = x};
     double *added = dw_zero(n, sizeof(double));
-    double *d = dw_zero(n, sizeof(double));
-    double *t = dw_zero(n, sizeof(double));
+    double *sorted_direct = dw_zero(n, sizeof(double));
+    double *sorted_through = dw_zero(n, sizeof(double));
     char path[192];
-    size_t bad = 0;
+    size_t failed = 0;
 
     for (size_t i = 0; i < n; i++) {
-        d[i] = direct[i];
-        t[i] = through[i];
+        sorted_direct[i] = direct[i];
+        sorted_through[i] = through[i];
         added[i] = through[i] - direct[i];
-        bad += direct[i] < 0 || through[i] < 0;
+        failed += direct[i] < 0 || through[i] < 0;
     }
     snprintf(path, sizeof(path), "%s/report.md", dir);
     r.md = fopen(path, "we");
@@ -644,13 +648,14 @@
             "- direct ms: median %.3f, p99 %.3f\n"
             "- through dunlinweir ms: median %.3f, p99 %.3f\n"
             "- added ms: median %.3f, p99 %.3f; failed %zu\n",
-            x->name, n, quantile(d, n, 0.5), quantile(d, n, 0.99),
-            quantile(t, n, 0.5), quantile(t, n, 0.99), quantile(added, n, 0.5),
-            quantile(added, n, 0.99), bad);
+            x->name, n, quantile(sorted_direct, n, 0.5),
+            quantile(sorted_direct, n, 0.99), quantile(sorted_through, n, 0.5),
+            quantile(sorted_through, n, 0.99), quantile(added, n, 0.5),
+            quantile(added, n, 0.99), failed);
         fclose(r.md);
     }
     free(added);
-    free(d);
-    free(t);
-    return bad;
+    free(sorted_direct);
+    free(sorted_through);
+    return failed;
 }
--- a/dwsim.c
+++ b/dwsim.c
@@ -336,7 +336,7 @@
     fflush(out);
 }
 
-/* Simulates all days in so many processes; false if one of them failed. */
+/* Simulates all days in that many processes; false if one of them failed. */
 static bool
 run_all_days(const struct experiment *x, int processes, struct day *days)
 {
@@ -431,7 +431,7 @@
 {
     FILE *f = fopen(path, "r");
     char line[1024];
-    size_t number = 0;
+    size_t line_number = 0;
     bool ok = false;
 
     *out = NULL;
@@ -443,9 +443,9 @@
     while (fgets(line, sizeof(line), f) != NULL) {
         struct day d = {0};
 
-        number++;
+        line_number++;
         line[strcspn(line, "\n")] = '\0';
-        if (number == 1) {
+        if (line_number == 1) {
             if (strcmp(line, CSV_HEAD) != 0) {
                 err_set(e,
                     "%s:1: the header is not that of a days.csv of this dwsim",
@@ -462,7 +462,8 @@
                 &d.moved, &d.messages, &d.estimate_error, &d.violations,
                 &d.forwarded, &d.sessions_lost,
                 &d.longest_pass_us) != CSV_COLUMNS) {
-            err_set(e, "%s:%zu: want %d numbers", path, number, CSV_COLUMNS);
+            err_set(
+                e, "%s:%zu: want %d numbers", path, line_number, CSV_COLUMNS);
             goto out;
         }
         *out = dw_grow(*out, (*n + 1) * sizeof(**out));
@@ -656,13 +657,15 @@
 /* --- one day in full --- */
 
 static void
-print_sum(const char *name, size_t number, const struct sim_totals *s)
+print_totals(const char *name, size_t number, const struct sim_totals *totals)
 {
     printf("%s %-6zu %7llu %7llu %6llu %7llu %6llu %7.3f\n", name, number,
-        (unsigned long long)s->requests, (unsigned long long)s->in_time,
-        (unsigned long long)s->late, (unsigned long long)s->refused,
-        (unsigned long long)s->lost,
-        s->value_offered > 0 ? s->value_earned / s->value_offered : 1.0);
+        (unsigned long long)totals->requests,
+        (unsigned long long)totals->in_time, (unsigned long long)totals->late,
+        (unsigned long long)totals->refused, (unsigned long long)totals->lost,
+        totals->value_offered > 0
+            ? totals->value_earned / totals->value_offered
+            : 1.0);
 }
 
 static void
@@ -707,10 +710,10 @@
     printf("%13s %7s %7s %6s %7s %6s %7s\n", "", "asked", "in time", "late",
         "refused", "lost", "worth");
     for (size_t i = 0; i < r.window_count; i++) {
-        print_sum("from s", i * SIM_WINDOW_MS / 1000, &r.window[i]);
+        print_totals("from s", i * SIM_WINDOW_MS / 1000, &r.window[i]);
     }
     for (uint32_t k = 0; k < d->kind_count; k++) {
-        print_sum("kind  ", k, &r.kind[k]);
+        print_totals("kind  ", k, &r.kind[k]);
     }
     fputs(r.violations.n > 0 ? r.violations.p : "", stdout);
     sim_result_free(&r);
@@ -822,7 +825,7 @@
     struct experiment x;
     struct err e = {""};
     const char *path;
-    const char *other;
+    const char *other_path;
     int rc = poptGetNextOpt(ctx);
 
     poptSetOtherOptionHelp(ctx, "EXPERIMENT.toml | --compare OLD.csv NEW.csv");
@@ -833,15 +836,15 @@
         goto out;
     }
     path = poptGetArg(ctx);
-    other = poptGetArg(ctx);
+    other_path = poptGetArg(ctx);
     rc = 2;
-    if (path == NULL || (comparing != 0) != (other != NULL) || jobs < 1 ||
+    if (path == NULL || (comparing != 0) != (other_path != NULL) || jobs < 1 ||
         jobs > PROCESSES_MAX || days < 0 || days > DAYS_MAX) {
         poptPrintUsage(ctx, stderr, 0);
         goto out;
     }
     if (comparing) {
-        rc = compare(path, other);
+        rc = compare(path, other_path);
         goto out;
     }
     if (!read_experiment(&x, path, &e)) {
--- a/dwtrace.c
+++ b/dwtrace.c
@@ -134,22 +134,23 @@
 {
     struct rng r = {x->seed};
     double slots = (double)x->agents * x->slots;
-    double per_ms = slots * x->load_permille / 1000.0 / mean_work_ms(x);
-    double end = x->seconds * 1000.0;
-    double at = 0;
+    double jobs_per_ms = slots * x->load_permille / 1000.0 / mean_work_ms(x);
+    double end_ms = x->seconds * 1000.0;
+    double at_ms = 0;
 
     memset(t, 0, sizeof(*t));
     while (x->calls == 0 || t->job_count < x->calls) {
-        at += -log(uniform(&r)) / per_ms;
-        if (at > end && x->calls == 0) {
+        at_ms += -log(uniform(&r)) / jobs_per_ms;
+        if (at_ms > end_ms && x->calls == 0) {
             break;
         }
-        add_job(t, &r, x, at);
+        add_job(t, &r, x, at_ms);
     }
-    for (double b = x->burst_every_ms; x->burst_every_ms > 0 && b < end;
-         b += x->burst_every_ms) {
+    for (double burst_ms = x->burst_every_ms;
+         x->burst_every_ms > 0 && burst_ms < end_ms;
+         burst_ms += x->burst_every_ms) {
         for (uint32_t i = 0; i < x->burst_calls; i++) {
-            add_job(t, &r, x, b);
+            add_job(t, &r, x, burst_ms);
         }
     }
     qsort(t->jobs, t->job_count, sizeof(t->jobs[0]), by_arrival);
--- a/sim-int.h
+++ b/sim-int.h
@@ -106,7 +106,7 @@
 /* A message or request that an entry has not read yet. */
 struct sim_input {
     struct sim_input *next;
-    uint64_t from;
+    uint64_t from;    /* process id, of a message */
     dw_msg *msg;      /* NULL: a request */
     uint64_t job;     /* id, of a request */
     uint32_t attempt; /* of a request */
@@ -164,10 +164,11 @@
     uint64_t deadline_us;
     uint64_t objective_us; /* duration */
     double value;
-    uint32_t attempt;          /* times that the caller has sent it */
-    bool awaiting_answer;      /* to the last attempt */
-    struct sim_waiter *waiter; /* at that entry, once it has read it */
-    uint64_t entry_id;         /* process that got the last attempt */
+    uint32_t attempt;     /* times that the caller has sent it */
+    bool awaiting_answer; /* to the last attempt */
+    /* At the entry of the last attempt, once it has read the request. */
+    struct sim_waiter *waiter;
+    uint64_t entry_id; /* process that got the last attempt */
     bool always_fails;
     bool started; /* a task has been started */
     enum sim_job_outcome outcome;
@@ -188,7 +189,7 @@
     struct sim_worker workers[SIM_WORKERS_MAX];
     struct sim_agent agents[SIM_WORKERS_MAX];
     struct sim_entry entries[SIM_ENTRIES_MAX];
-    /* Contents of the store. */
+    /* Contents of the store; withdrawn is by failure domain. */
     uint64_t registered[SIM_WORKERS_MAX];        /* process ids, by agent */
     struct buf saved_estimates[SIM_ENTRIES_MAX]; /* of run times, by entry */
     bool withdrawn[SIM_DOMAINS_MAX];
@@ -272,7 +273,8 @@
 /* The worker dies with all its runs. */
 void sim_worker_crash(struct sim *s, struct sim_worker *w);
 /* Changes the slowdown; runs keep the work done so far. */
-void sim_worker_set_slowdown(struct sim *s, struct sim_worker *w, double slow);
+void sim_worker_set_slowdown(
+    struct sim *s, struct sim_worker *w, double slowdown);
 /* Ends all runs if the lease has expired. */
 void sim_worker_tick(struct sim *s, struct sim_worker *w);
 void sim_worker_free(struct sim_worker *w);
@@ -280,15 +282,19 @@
 uint64_t sim_worker_clock(const struct sim *s, const struct sim_worker *w);
 
 /* --- simcaller.c: callers --- */
+/* Adds the estimate of a longest task to the mean error of the day. */
 void sim_record_estimate(
     struct sim *s, uint32_t estimated_ms, uint32_t true_ms);
+/* NULL if there is no such job. */
 struct sim_job *sim_job_by_id(struct sim *s, uint64_t id);
+/* Schedules the first request of each kind. */
 void sim_callers_start(struct sim *s);
 /* The job, if that attempt of its caller still waits for its answer. */
 struct sim_job *sim_job_awaiting(
     struct sim *s, uint64_t job, uint32_t attempt);
 /* The submission of the job to an entry; free(3) its tasks. */
 struct co_submit sim_submission(const struct sim *s, const struct sim_job *j);
+/* Delivers an answer, unless the attempt no longer waits for it. */
 void sim_answered(struct sim *s, const struct sim_answer *a);
 /* Closes the connections of all callers that wait at the entry. */
 void sim_disconnect_callers(struct sim *s, uint64_t entry_id);
--- a/sim.h
+++ b/sim.h
@@ -90,7 +90,8 @@
     bool all_kinds;  /* of request, instead of target */
 };
 
-/* Weights of the parts of a day's score; see sim_result.score. */
+/* Weights of the parts of a day's score; see sim_compute_result() in
+ * simcaller.c. */
 struct sim_weights {
     double day;          /* share of the value earned over the whole day */
     double windows;      /* mean of that share in the two worst windows */
--- a/simcaller.c
+++ b/simcaller.c
@@ -465,9 +465,11 @@
 }
 
 static double
-earned_share(const struct sim_totals *s)
+earned_share(const struct sim_totals *totals)
 {
-    return s->value_offered > 0 ? s->value_earned / s->value_offered : 1;
+    return totals->value_offered > 0
+               ? totals->value_earned / totals->value_offered
+               : 1;
 }
 
 /* Mean share of the two worst windows. */
@@ -478,14 +480,14 @@
     double second = 1;
 
     for (size_t i = 0; i < r->window_count; i++) {
-        double p = earned_share(&r->window[i]);
+        double share = earned_share(&r->window[i]);
 
-        if (p < worst) {
+        if (share < worst) {
             second = worst;
-            worst = p;
+            worst = share;
         }
-        else if (p < second) {
-            second = p;
+        else if (share < second) {
+            second = share;
         }
     }
     return (worst + second) / 2;
@@ -497,10 +499,10 @@
 /* The share of served requests in nines, scaled: 1 if UNSERVED_MIN or less are
  * not served, 0 if none is served. */
 static double
-served_nines(const struct sim_totals *s)
+served_nines(const struct sim_totals *totals)
 {
-    double not_served =
-        (double)(s->refused + s->lost) / (double)num_max(s->requests, 1);
+    double not_served = (double)(totals->refused + totals->lost) /
+                        (double)num_max(totals->requests, 1);
 
     return log(fmax(not_served, UNSERVED_MIN)) / log(UNSERVED_MIN);
 }
--- a/simdraw.c
+++ b/simdraw.c
@@ -75,7 +75,7 @@
     struct sim_deployment *d, gsl_rng *rng, const struct sim_ranges *r)
 {
     uint32_t cores = (uint32_t)log_uniform_between(rng, 16, 96);
-    double uneven_share = uniform_between(rng, 0, 1);
+    double unevenness = uniform_between(rng, 0, 1);
 
     d->domain_count = integer_between(rng, 2, r->domains_max);
     d->entry_count =
@@ -86,11 +86,11 @@
         d->entry_weight[i] = uniform_between(rng, 0.3, 1);
     }
     for (uint32_t i = 0; i < d->worker_count; i++) {
-        bool other = gsl_rng_uniform(rng) < 0.33;
+        bool larger = gsl_rng_uniform(rng) < 0.33;
 
-        d->speed[i] = other ? 1 + 0.4 * uneven_share : 1;
+        d->speed[i] = larger ? 1 + 0.4 * unevenness : 1;
         d->millicores[i] =
-            cores * 1000 * (other && uneven_share > 0.5 ? 3 : 2) / 2;
+            cores * 1000 * (larger && unevenness > 0.5 ? 3 : 2) / 2;
     }
     d->local_latency_us = 200;
     d->cross_domain_latency_us = (uint32_t)log_uniform_between(rng, 500, 3000);
--- a/simentry.c
+++ b/simentry.c
@@ -140,12 +140,13 @@
 
 static void
 entry_note_refusal(void *ctx, const struct co_submit *sub,
-    const struct es_estimate *g, const char *why, uint64_t waiting_ms)
+    const struct es_estimate *estimate, const char *reason,
+    uint64_t waiting_ms)
 {
     (void)ctx;
     (void)sub;
-    (void)g;
-    (void)why;
+    (void)estimate;
+    (void)reason;
     (void)waiting_ms;
 }
 
@@ -331,13 +332,13 @@
 static void
 tick(struct sim_entry *e)
 {
-    struct rl_state load = {
+    struct rl_state state = {
         lg_has_spare_time(&e->lag) && !lg_is_out_of_rotation(&e->lag),
         (uint32_t)(e->lag.utilization * 1000), 0};
     uint64_t now = sim_now_ms(e->s);
     double spent_before_us = e->spent_us;
 
-    rl_set_state(&e->relay, &load);
+    rl_set_state(&e->relay, &state);
     if (!lg_has_spare_time(&e->lag) && !e->s->d->no_forwarding) {
         rl_need_peers(&e->relay, now);
     }
@@ -355,15 +356,15 @@
 static void
 begin_queued_jobs(struct sim_entry *e)
 {
-    enum it_action verdict;
+    enum it_action action;
     void *waiter;
 
     for (;;) {
-        verdict = it_next(&e->intake, loop_time_us(e), &waiter);
-        if (verdict == IT_NONE) {
+        action = it_next(&e->intake, loop_time_us(e), &waiter);
+        if (action == IT_NONE) {
             break;
         }
-        if (verdict == IT_REFUSE) {
+        if (action == IT_REFUSE) {
             entry_answer(e, waiter, CO_NOT_RUN, "behind", 1000);
         }
         else {
--- a/simworker.c
+++ b/simworker.c
@@ -103,12 +103,12 @@
 end_run(
     struct sim *s, struct sim_worker *w, struct sim_run *run, dw_end outcome)
 {
-    struct rn_outcome *e;
+    struct rn_outcome *listed;
 
     w->outcomes =
         dw_grow(w->outcomes, (w->outcome_count + 1) * sizeof(*w->outcomes));
-    e = &w->outcomes[w->outcome_count++];
-    *e = (struct rn_outcome){w->next_outcome++, run->key, outcome};
+    listed = &w->outcomes[w->outcome_count++];
+    *listed = (struct rn_outcome){w->next_outcome++, run->key, outcome};
     record_run(w, &run->key);
     count_running(s, &run->key, -1);
     *run = w->runs[--w->run_count];
@@ -409,21 +409,21 @@
 poll_done(struct sim *s, void *data)
 {
     struct sim_call *c = data;
-    struct rn_poll l = {0};
+    struct rn_poll answer = {0};
 
     if (!c->answered && sim_agent_is_current(c)) {
         c->answered = true;
-        l.sent_ms = c->sent_ms;
-        l.immediate = c->poll.immediate;
-        l.ok = c->running != NULL;
-        l.unreachable = !worker_of(c)->up;
-        l.worker_clock_ms = c->clock_ms;
-        l.incarnation = c->worker_started_ms;
-        l.running = c->running;
-        l.running_count = c->running_count;
-        l.outcomes = c->outcomes;
-        l.outcome_count = c->outcome_count;
-        rn_poll_answered(&c->agent->agent.runner, sim_now_ms(s), &l);
+        answer.sent_ms = c->sent_ms;
+        answer.immediate = c->poll.immediate;
+        answer.ok = c->running != NULL;
+        answer.unreachable = !worker_of(c)->up;
+        answer.worker_clock_ms = c->clock_ms;
+        answer.incarnation = c->worker_started_ms;
+        answer.running = c->running;
+        answer.running_count = c->running_count;
+        answer.outcomes = c->outcomes;
+        answer.outcome_count = c->outcome_count;
+        rn_poll_answered(&c->agent->agent.runner, sim_now_ms(s), &answer);
         ag_flush(&c->agent->agent, sim_now_ms(s));
     }
     unref_call(c);
@@ -456,7 +456,7 @@
 }
 
 static void
-poll_wait_over(struct sim *s, void *data)
+poll_wait_expired(struct sim *s, void *data)
 {
     struct sim_call *c = data;
     struct sim_worker *w = worker_of(c);
@@ -495,24 +495,24 @@
     }
     w->poll = c;
     c->refs++;
-    sim_schedule(s, c->poll.wait_ms * 1000ULL, poll_wait_over, c);
+    sim_schedule(s, c->poll.wait_ms * 1000ULL, poll_wait_expired, c);
 }
 
 static void
-do_poll(
-    void *ctx, const struct rn_poll_request *ask, const struct rn_terms *terms)
+do_poll(void *ctx, const struct rn_poll_request *request,
+    const struct rn_terms *terms)
 {
     struct sim_agent *a = ctx;
     struct sim *s = a->s;
     struct sim_call *c = new_call(a);
 
-    c->poll = *ask;
+    c->poll = *request;
     c->terms = *terms;
     c->lost = sim_random(s) < s->workers[a->index].late_order_share;
     c->refs = 2;
     sim_schedule(s, s->d->worker_latency_us, poll_arrives, c);
     sim_schedule(
-        s, (ask->wait_ms + RN_POLL_MARGIN_MS) * 1000ULL, poll_done, c);
+        s, (request->wait_ms + RN_POLL_MARGIN_MS) * 1000ULL, poll_done, c);
 }
 
 const struct rn_ops sim_worker_ops = {do_start, do_stop, do_poll, NULL};
@@ -530,12 +530,12 @@
 void
 sim_worker_free(struct sim_worker *w)
 {
-    struct sim_run_record *p;
+    struct sim_run_record *record;
     struct sim_run_record *tmp;
 
-    HASH_ITER (hh, w->run_records, p, tmp) {
-        HASH_DEL(w->run_records, p);
-        free(p);
+    HASH_ITER (hh, w->run_records, record, tmp) {
+        HASH_DEL(w->run_records, record);
+        free(record);
     }
     if (w->poll != NULL) {
         unref_call(w->poll);
--- a/test/capacity.cc
+++ b/test/capacity.cc
@@ -4,10 +4,11 @@
  * usage: capacity [NODES ...]
  *
  * Simulates fleets of NODES idle nodes in one process, in eight failure
- * domains, and prints for each size, per node: messages and bytes a second
- * (encoded, with 28 bytes of UDP and IP headers each), processor time and
- * memory, and the store reads a second of the whole fleet.  Then the time and
- * the traffic until a configuration change is in force everywhere.
+ * domains, and prints for each size, per node: messages and KB a second
+ * (encoded, with all headers), the KB a second of the node that sends most,
+ * processor time and memory, and the store reads a second of the whole fleet.
+ * Then the time and the traffic until a configuration change is in force
+ * everywhere.
  */
 #include <cstdio>
 #include <cstdlib>
@@ -47,8 +48,8 @@
     double memory = resident_mb();
     Fleet f(1, 8, nodes - 8, 8);
     uint64_t bytes = 0;
-    std::map<Proc *, uint64_t> each;
-    uint64_t most = 0;
+    std::map<Proc *, uint64_t> bytes_by_proc;
+    uint64_t bytes_max = 0;
     const double seconds = 10;
 
     if (!f.settle(60000)) {
@@ -57,12 +58,13 @@
     }
     f.run(15000);
     memory = (resident_mb() - memory) / nodes;
-    f.on_message = [&bytes, &each](Proc &from, Proc *, const dw_msg *m) {
+    f.on_message = [&bytes, &bytes_by_proc](
+                       Proc &from, Proc *, const dw_msg *m) {
         /* 72 bytes of RPC header and envelope, 28 of UDP and IP headers. */
         uint64_t n = msg_size(m) + 72 + 28;
 
         bytes += n;
-        each[&from] += n;
+        bytes_by_proc[&from] += n;
     };
     double cpu = cpu_ms();
     uint64_t messages = f.messages;
@@ -70,22 +72,22 @@
 
     f.run((uint64_t)(seconds * 1000));
     cpu = (cpu_ms() - cpu) / seconds / nodes;
-    for (auto &one : each) {
-        most = std::max(most, one.second);
+    for (auto &item : bytes_by_proc) {
+        bytes_max = std::max(bytes_max, item.second);
     }
     printf("| %zu | %.1f | %.2f | %.2f | %.3f %% | %.2f | %.1f |\n", nodes,
         (f.messages - messages) / seconds / nodes,
-        bytes / seconds / nodes / 1e3, most / seconds / 1e3, cpu / 10, memory,
-        (f.store.reads - reads) / seconds);
+        bytes / seconds / nodes / 1e3, bytes_max / seconds / 1e3, cpu / 10,
+        memory, (f.store.reads - reads) / seconds);
     fflush(stdout);
 
-    /* One change of configuration. */
-    uint64_t began = f.now;
-    uint64_t before = bytes;
+    /* One configuration change: a new contract. */
+    uint64_t change_start = f.now;
+    uint64_t bytes_before = bytes;
 
     f.contract("new");
     uint64_t rev = f.store.rev;
-    bool everywhere = f.run_until(
+    bool in_force = f.run_until(
         [&f, rev] {
             for (auto &p : f.procs) {
                 if (p->n.view.rev < rev) {
@@ -97,8 +99,8 @@
         20000);
     printf("|   change | in force everywhere after %llu ms%s, %.1f KB a node "
            "in that time | | | | | |\n",
-        (unsigned long long)(f.now - began), everywhere ? "" : " (not)",
-        (bytes - before) / 1e3 / nodes);
+        (unsigned long long)(f.now - change_start), in_force ? "" : " (not)",
+        (bytes - bytes_before) / 1e3 / nodes);
     fflush(stdout);
 }
 
--- a/test/fake-backend.c
+++ b/test/fake-backend.c
@@ -7,9 +7,9 @@
  * first number is the run time in ms ("120", "120 fail", "120 size 5000").
  * It counts every start by customer, key and index; GET /starts lists them.
  * POST /control?fail=1&leave=1&hang=1&no_lease=1 sets switches: fail all
- * tasks, leave the agent, never finish a task, ignore leases.  In the worker's
- * part it enforces leases (a task whose lease lapsed is stopped with status
- * 410), stops tasks and reports resource use with a delay.
+ * tasks, deregister from the agent, never finish a task, ignore leases.  As
+ * the worker it enforces leases (a task whose lease lapsed is stopped with
+ * status 410), stops tasks and reports resource use with a delay.
  */
 #include <ev.h>
 #include <inttypes.h>
@@ -289,12 +289,12 @@
 }
 
 static void
-set_switch(struct web_req *r, const char *name, bool *at)
+set_switch(struct web_req *r, const char *name, bool *value)
 {
-    const char *v = web_query(r, name);
+    const char *text = web_query(r, name);
 
-    if (v != NULL) {
-        *at = strcmp(v, "0") != 0;
+    if (text != NULL) {
+        *value = strcmp(text, "0") != 0;
     }
 }
 
--- a/test/fake-store.c
+++ b/test/fake-store.c
@@ -62,14 +62,14 @@
 static uint64_t lost_answers;
 
 static struct str
-decode(const char *z, char *out, size_t cap)
+decode(const char *text, char *out, size_t cap)
 {
     struct base64_decode_ctx ctx;
     size_t n = cap;
 
     base64_decode_init(&ctx);
-    if (z == NULL || strlen(z) / 4 * 3 + 3 > cap ||
-        !base64_decode_update(&ctx, &n, (uint8_t *)out, strlen(z), z)) {
+    if (text == NULL || strlen(text) / 4 * 3 + 3 > cap ||
+        !base64_decode_update(&ctx, &n, (uint8_t *)out, strlen(text), text)) {
         n = 0;
     }
     return str_make(out, n);
@@ -363,13 +363,13 @@
 }
 
 static void
-set_switch(struct MHD_Connection *conn, const char *name, unsigned *at)
+set_switch(struct MHD_Connection *conn, const char *name, unsigned *value)
 {
-    const char *v =
+    const char *text =
         MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, name);
 
-    if (v != NULL) {
-        *at = (unsigned)strtoul(v, NULL, 10);
+    if (text != NULL) {
+        *value = (unsigned)strtoul(text, NULL, 10);
     }
 }
 
@@ -478,7 +478,7 @@
     struct MHD_Daemon *d;
     struct sockaddr_in sa = {0};
     sigset_t set;
-    int got;
+    int signum;
 
     if (port == 0 || port > 65535) {
         fprintf(stderr, "usage: fake-store PORT\n");
@@ -502,6 +502,6 @@
         fprintf(stderr, "fake-store: port %u: %s\n", port, strerror(errno));
         return 1;
     }
-    sigwait(&set, &got);
+    sigwait(&set, &signum);
     _exit(0);
 }
--- a/test/sim-test.cc
+++ b/test/sim-test.cc
@@ -81,10 +81,11 @@
     ranges.fault_always[SIM_POWER_LOSS] = true;
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Day day(seed, ranges);
-        const sim_totals &w = day.r.total;
+        const sim_totals &totals = day.r.total;
 
-        EXPECT_LE(w.in_time + w.late + w.refused + w.lost, w.requests);
-        EXPECT_GT(w.lost, 0u) << "a power loss loses requests";
+        EXPECT_LE(totals.in_time + totals.late + totals.refused + totals.lost,
+            totals.requests);
+        EXPECT_GT(totals.lost, 0u) << "a power loss loses requests";
     }
 }
 
@@ -153,8 +154,9 @@
     EXPECT_LT(with_forwarding, without_forwarding / 2);
 }
 
-/* An overloaded entry that reads more requests than it can handle has loop
- * passes of seconds, loses its sessions and answers its callers too late. */
+/* Guards against an overloaded entry reading more requests than it can handle:
+ * its loop passes then take seconds, its sessions end and its callers are
+ * answered too late. */
 TEST(Sim, AnEntryWithHalfOfTheProcessorItNeedsServesWhatItCan)
 {
     for (uint64_t seed = 1; seed <= 4; seed++) {
--- a/test/soak-proxy.c
+++ b/test/soak-proxy.c
@@ -135,7 +135,7 @@
 }
 
 static void
-init_half(struct proxy *p, struct pair *pair, int i, int from, int to)
+init_direction(struct proxy *p, struct pair *pair, int i, int from, int to)
 {
     struct direction *d = &pair->directions[i];
     int one = 1;
@@ -196,8 +196,8 @@
         pair->next->prev = pair;
     }
     p->pairs = pair;
-    init_half(p, pair, 0, client, server);
-    init_half(p, pair, 1, server, client);
+    init_direction(p, pair, 0, client, server);
+    init_direction(p, pair, 1, server, client);
 }
 
 void
--- a/test/soak-store.c
+++ b/test/soak-store.c
@@ -193,7 +193,7 @@
 }
 
 static json_t *
-item_json(const struct fake_store *f, const struct item *it, bool exact)
+item_json(const struct fake_store *f, const struct item *it, bool as_written)
 {
     json_t *o = json_object();
 
@@ -203,8 +203,8 @@
         json_object_set_new(o, "tombstone", json_true());
         return o;
     }
-    json_object_set_new(
-        o, "value", exact ? json_string(it->value) : proxied_value(f, it));
+    json_object_set_new(o, "value",
+        as_written ? json_string(it->value) : proxied_value(f, it));
     json_object_set_new(
         o, "create_rev", json_integer((json_int_t)it->create_rev));
     json_object_set_new(o, "lease", json_integer((json_int_t)it->lease));
--- a/test/soak-worker.c
+++ b/test/soak-worker.c
@@ -100,7 +100,7 @@
 }
 
 static struct run *
-find(struct fake_worker *w, const struct task *t)
+find_run(struct fake_worker *w, const struct task *t)
 {
     for (size_t i = 0; i < w->run_count; i++) {
         if (same_task(&w->runs[i].task, t)) {
@@ -113,10 +113,10 @@
 static void
 record_past(struct fake_worker *w, const struct task *t, uint64_t run)
 {
-    struct outcome *p = &w->past[w->past_count++ % PAST_MAX];
+    struct outcome *record = &w->past[w->past_count++ % PAST_MAX];
 
-    p->task = *t;
-    p->run = run;
+    record->task = *t;
+    record->run = run;
 }
 
 static uint64_t
@@ -135,14 +135,14 @@
 static void
 end_run(struct fake_worker *w, struct run *r, const char *outcome_name)
 {
-    struct outcome *e =
+    struct outcome *listed =
         &w->outcomes[w->outcome_count < OUTCOMES_MAX ? w->outcome_count++ : 0];
     bool done = strcmp(outcome_name, "done") == 0;
 
-    e->number = w->next_outcome++;
-    e->task = r->task;
-    e->run = r->run;
-    e->outcome_name = outcome_name;
+    listed->number = w->next_outcome++;
+    listed->task = r->task;
+    listed->run = r->run;
+    listed->outcome_name = outcome_name;
     record_past(w, &r->task, r->run);
     w->events->end(w->ctx, w, r->task.job, r->task.index, done);
     *r = w->runs[--w->run_count];
@@ -167,7 +167,7 @@
 };
 
 static uint64_t
-number(const json_t *o, const char *name)
+get_number(const json_t *o, const char *name)
 {
     return (uint64_t)json_integer_value(json_object_get(o, name));
 }
@@ -186,17 +186,18 @@
         str_hex64(str_make(task, 16), &out->task.job);
         out->task.index = (uint32_t)strtoul(task + 21, NULL, 10);
     }
-    out->run = number(o, "run_id");
-    out->until_ms = number(o, "until_ms");
-    out->fence = number(o, "fencing_token");
-    out->ack = number(o, "ack_cursor");
-    out->wait_ms = number(o, "wait_ms");
+    out->run = get_number(o, "run_id");
+    out->until_ms = get_number(o, "until_ms");
+    out->fence = get_number(o, "fencing_token");
+    out->ack = get_number(o, "ack_cursor");
+    out->wait_ms = get_number(o, "wait_ms");
     json_decref(o);
     return true;
 }
 
+/* Remembers the highest fencing number; true if this one is lower. */
 static bool
-check_fence(struct fake_worker *w, const struct order *o)
+fenced(struct fake_worker *w, const struct order *o)
 {
     if (o->fence < w->fence) {
         return true;
@@ -208,14 +209,14 @@
 /* --- orders --- */
 
 static void
-check_capacity(struct fake_worker *w, uint32_t more)
+check_capacity(struct fake_worker *w, uint32_t added_millicores)
 {
-    uint32_t used = more;
+    uint32_t used_millicores = added_millicores;
 
     for (size_t i = 0; i < w->run_count; i++) {
-        used += w->runs[i].millicores;
+        used_millicores += w->runs[i].millicores;
     }
-    if (used > WORKER_MILLICORES) {
+    if (used_millicores > WORKER_MILLICORES) {
         w->events->violation(w->ctx, "a worker is over its capacity");
     }
 }
@@ -226,9 +227,9 @@
 static const char *
 start_run(struct fake_worker *w, const struct order *o)
 {
-    struct run *r = find(w, &o->task);
+    struct run *r = find_run(w, &o->task);
 
-    if (check_fence(w, o)) {
+    if (fenced(w, o)) {
         return "fence";
     }
     if (o->until_ms < worker_clock_ms(w)) {
@@ -261,9 +262,9 @@
 static void
 stop_run(struct fake_worker *w, const struct order *o)
 {
-    struct run *r = find(w, &o->task);
+    struct run *r = find_run(w, &o->task);
 
-    if (check_fence(w, o)) {
+    if (fenced(w, o)) {
         return;
     }
     record_past(w, &o->task, o->run);
@@ -338,7 +339,7 @@
 {
     size_t kept = 0;
 
-    if (check_fence(w, o)) {
+    if (fenced(w, o)) {
         answer(w, r, "fence");
         return;
     }
@@ -361,12 +362,12 @@
 }
 
 static bool
-ends_with(const char *z, const char *tail)
+ends_with(const char *text, const char *suffix)
 {
-    size_t n = strlen(z);
-    size_t t = strlen(tail);
+    size_t text_n = strlen(text);
+    size_t suffix_n = strlen(suffix);
 
-    return n >= t && strcmp(z + n - t, tail) == 0;
+    return text_n >= suffix_n && strcmp(text + text_n - suffix_n, suffix) == 0;
 }
 
 static void
@@ -425,11 +426,11 @@
         }
     }
     else if (chance < w->late_permille && w->delayed_count < DELAYED_MAX) {
-        struct delayed_order *l = &w->delayed[w->delayed_count++];
+        struct delayed_order *delayed = &w->delayed[w->delayed_count++];
 
-        l->at_ms = w->now + 2000 + soak_random(w->s, 6000);
-        l->is_stop = is_stop;
-        l->body = str_dup(web_body(r));
+        delayed->at_ms = w->now + 2000 + soak_random(w->s, 6000);
+        delayed->is_stop = is_stop;
+        delayed->body = str_dup(web_body(r));
         leave_unanswered(w, r);
     }
     else if (chance < w->late_permille + w->lost_permille) {
@@ -486,11 +487,11 @@
 tick_polls(struct fake_worker *w)
 {
     for (size_t i = 0; i < w->poll_count;) {
-        struct pending_poll polled = w->polls[i];
+        struct pending_poll pending = w->polls[i];
 
-        if (w->outcome_count > 0 || w->now >= polled.until_ms) {
+        if (w->outcome_count > 0 || w->now >= pending.until_ms) {
             w->polls[i] = w->polls[--w->poll_count];
-            answer_poll(w, polled.r);
+            answer_poll(w, pending.r);
             i = 0;
             continue;
         }
@@ -502,12 +503,12 @@
 tick_delayed(struct fake_worker *w)
 {
     for (size_t i = 0; i < w->delayed_count;) {
-        struct delayed_order l = w->delayed[i];
+        struct delayed_order order = w->delayed[i];
 
-        if (w->now >= l.at_ms) {
+        if (w->now >= order.at_ms) {
             w->delayed[i] = w->delayed[--w->delayed_count];
-            carry_out(w, NULL, str_of(l.body), l.is_stop);
-            free(l.body);
+            carry_out(w, NULL, str_of(order.body), order.is_stop);
+            free(order.body);
             continue;
         }
         i++;
@@ -576,7 +577,7 @@
 {
     struct task t = {job, index};
 
-    return find((struct fake_worker *)w, &t) != NULL;
+    return find_run((struct fake_worker *)w, &t) != NULL;
 }
 
 void
--- a/test/soak.c
+++ b/test/soak.c
@@ -679,10 +679,10 @@
     for (size_t i = 0; i < s->undo_count;) {
         if (s->now >= s->undo[i].at_ms) {
             void (*fn)(struct soak *, int) = s->undo[i].fn;
-            int which = s->undo[i].i;
+            int target = s->undo[i].i;
 
             s->undo[i] = s->undo[--s->undo_count];
-            fn(s, which);
+            fn(s, target);
             continue;
         }
         i++;
@@ -782,7 +782,7 @@
     }
 }
 
-/* Calls sent long enough after the last fault must all complete. */
+/* Calls sent from 2 s before the end of FAULT_FREE_MS on must all complete. */
 static void
 check_fault_free(struct soak *s, size_t *completed)
 {
--- a/test/soak.h
+++ b/test/soak.h
@@ -57,9 +57,10 @@
 
 struct fake_worker;
 
-/* A run started, or ended; done is false if it did not run to its end. */
+/* A run started. */
 typedef void (*fw_start_fn)(
     void *ctx, struct fake_worker *w, uint64_t job, uint32_t index);
+/* A run ended; done is false if it did not run to its end. */
 typedef void (*fw_end_fn)(
     void *ctx, struct fake_worker *w, uint64_t job, uint32_t index, bool done);
 /* Run time of a task in ms. */
--- a/test/world.cc
+++ b/test/world.cc
@@ -55,7 +55,7 @@
     if (call != w->calls.end()) {
         ms = call->second->task_ms[key.index];
     }
-    auto lost = [a, id, key] {
+    auto report_lost = [a, id, key] {
         to_agent(a, id, RN_ANSWER_TIMEOUT_MS, [a, key] {
             rn_start_answered(
                 &a->agent_state.runner, a->w->now, &key, RN_START_LOST, 0);
@@ -66,7 +66,7 @@
             rn_start_result r;
             w->worker_start(a->index, key, millicores, ms, terms, &r);
         });
-        lost();
+        report_lost();
         return;
     }
     bool answer_lost = w->chance() < f->lost_answer_share;
@@ -77,7 +77,7 @@
             w->worker_start(a->index, key, millicores, ms, terms, &result);
         }
         if (answer_lost) {
-            lost();
+            report_lost();
             return;
         }
         uint64_t clock = f->up ? w->worker_clock(*f) : 0;
@@ -117,6 +117,7 @@
     }
 }
 
+/* A long poll; answered is also set when the agent has given it up. */
 struct PollCall {
     bool answered = false;
     uint64_t asked;
@@ -129,7 +130,7 @@
     World *w = a->w;
     FakeWorker *f = w->workers[a->index].get();
     auto running = std::make_shared<std::vector<rn_poll_run>>();
-    auto ends = std::make_shared<std::vector<rn_outcome>>(f->outcomes);
+    auto outcomes = std::make_shared<std::vector<rn_outcome>>(f->outcomes);
     uint64_t clock = w->worker_clock(*f);
     uint64_t incarnation = f->incarnation;
 
@@ -141,18 +142,18 @@
         running->push_back({r.second.first, 0});
     }
     to_agent(a, id, CALL_MS, [=] {
-        rn_poll l = {};
-
-        l.sent_ms = call->asked;
-        l.immediate = call->quick;
-        l.ok = true;
-        l.worker_clock_ms = clock;
-        l.incarnation = incarnation;
-        l.running = running->data();
-        l.running_count = running->size();
-        l.outcomes = ends->data();
-        l.outcome_count = ends->size();
-        rn_poll_answered(&a->agent_state.runner, w->now, &l);
+        rn_poll answer = {};
+
+        answer.sent_ms = call->asked;
+        answer.immediate = call->quick;
+        answer.ok = true;
+        answer.worker_clock_ms = clock;
+        answer.incarnation = incarnation;
+        answer.running = running->data();
+        answer.running_count = running->size();
+        answer.outcomes = outcomes->data();
+        answer.outcome_count = outcomes->size();
+        rn_poll_answered(&a->agent_state.runner, w->now, &answer);
     });
 }
 
@@ -174,12 +175,12 @@
 }
 
 void
-do_poll(void *ctx, const rn_poll_request *ask, const rn_terms *lease_terms)
+do_poll(void *ctx, const rn_poll_request *request, const rn_terms *lease_terms)
 {
     rn_terms terms = *lease_terms;
-    uint64_t ack = ask->ack;
-    uint32_t wait_ms = ask->wait_ms;
-    bool quick = ask->immediate;
+    uint64_t ack = request->ack;
+    uint32_t wait_ms = request->wait_ms;
+    bool immediate = request->immediate;
     FakeAgent *a = self(ctx);
     World *w = a->w;
     FakeWorker *f = w->workers[a->index].get();
@@ -188,7 +189,7 @@
     bool lost = w->chance() < f->late_order_share + f->lost_answer_share;
 
     call->asked = w->now;
-    call->quick = quick;
+    call->quick = immediate;
     w->after(CALL_MS, [=] {
         if (!f->up || lost || w->fenced(*f, terms.fence)) {
             return;
@@ -208,12 +209,12 @@
             return;
         }
         w->on_agent(a, [=] {
-            rn_poll l = {};
+            rn_poll answer = {};
 
-            l.sent_ms = call->asked;
-            l.immediate = quick;
-            l.unreachable = !f->up;
-            rn_poll_answered(&a->agent_state.runner, w->now, &l);
+            answer.sent_ms = call->asked;
+            answer.immediate = immediate;
+            answer.unreachable = !f->up;
+            rn_poll_answered(&a->agent_state.runner, w->now, &answer);
         });
     });
 }
@@ -232,12 +233,12 @@
 }
 
 void
-agent_note_outcome(void *ctx, const rn_run *r, dw_end how, uint32_t)
+agent_note_outcome(void *ctx, const rn_run *r, dw_end outcome, uint32_t)
 {
     FakeAgent *a = self(ctx);
 
     a->w->trace("agent %zu: task %s run %lu ended %d in state %d", a->index,
-        task_of(r->key).c_str(), r->key.run, how, r->state);
+        task_of(r->key).c_str(), r->key.run, outcome, r->state);
 }
 
 void
@@ -263,7 +264,8 @@
 }
 
 void
-entry_answer(void *ctx, void *handle, co_outcome how, const char *, uint32_t)
+entry_answer(
+    void *ctx, void *handle, co_outcome outcome, const char *, uint32_t)
 {
     FakeEntry *e = static_cast<FakeEntry *>(ctx);
     FakeWaiter *waiter = static_cast<FakeWaiter *>(handle);
@@ -271,11 +273,12 @@
     uint64_t id = e->id;
 
     if (waiter->forwarded != nullptr) {
-        rl_reply(waiter->forwarded, how, "", 0);
+        rl_reply(waiter->forwarded, outcome, "", 0);
     }
     else {
         c->waiter = nullptr;
-        e->answers.push_back([e, c, id, how] { e->w->answered(c, id, how); });
+        e->answers.push_back(
+            [e, c, id, outcome] { e->w->answered(c, id, outcome); });
     }
 }
 
@@ -381,10 +384,10 @@
 void
 World::trace(const char *fmt, ...)
 {
-    static const bool on = getenv("DW_TRACE") != nullptr;
+    static const bool enabled = getenv("DW_TRACE") != nullptr;
     va_list ap;
 
-    if (on) {
+    if (enabled) {
         printf("%lu ", (unsigned long)now);
         va_start(ap, fmt);
         vprintf(fmt, ap);
@@ -475,9 +478,9 @@
 void
 World::tick_both(FakeEntry *e)
 {
-    rl_state load = {true, 0, 1};
+    rl_state state = {true, 0, 1};
 
-    rl_set_state(&e->relay_state, &load);
+    rl_set_state(&e->relay_state, &state);
     if (forward_share > 0) {
         rl_need_peers(&e->relay_state, now);
     }
@@ -590,33 +593,33 @@
 World::cut(
     size_t entry, size_t agent, bool to_agent, bool to_entry, uint64_t for_ms)
 {
-    std::pair<uint64_t, uint64_t> there = {
+    std::pair<uint64_t, uint64_t> agent_link = {
         entries[entry]->id, agents[agent]->id};
-    std::pair<uint64_t, uint64_t> back = {there.second, there.first};
+    std::pair<uint64_t, uint64_t> entry_link = {
+        agent_link.second, agent_link.first};
 
     trace("cut entry %zu agent %zu: %d %d for %lu", entry, agent, to_agent,
         to_entry, for_ms);
     if (to_agent) {
-        dropped_links.insert(there);
+        dropped_links.insert(agent_link);
     }
     if (to_entry) {
-        dropped_links.insert(back);
+        dropped_links.insert(entry_link);
     }
-    after(for_ms, [this, there, back] {
-        dropped_links.erase(there);
-        dropped_links.erase(back);
+    after(for_ms, [this, agent_link, entry_link] {
+        dropped_links.erase(agent_link);
+        dropped_links.erase(entry_link);
     });
 }
 
 void
 World::drop_entry_messages(size_t from, size_t to, uint64_t for_ms)
 {
-    std::pair<uint64_t, uint64_t> connection = {
-        entries[from]->id, entries[to]->id};
+    std::pair<uint64_t, uint64_t> link = {entries[from]->id, entries[to]->id};
 
     trace("cut entry %zu to entry %zu for %lu", from, to, for_ms);
-    dropped_links.insert(connection);
-    after(for_ms, [this, connection] { dropped_links.erase(connection); });
+    dropped_links.insert(link);
+    after(for_ms, [this, link] { dropped_links.erase(link); });
 }
 
 /* --- processes --- */
@@ -823,18 +826,18 @@
 }
 
 void
-World::end_run(FakeWorker &w, const std::string &task, dw_end how)
+World::end_run(FakeWorker &w, const std::string &task, dw_end outcome)
 {
     auto it = w.runs.find(task);
-    rn_outcome end;
+    rn_outcome listed;
 
     trace("worker: task %s run %lu ended %d", task.c_str(),
-        it->second.first.run, how);
-    end.seq = w.next_outcome++;
-    end.key = it->second.first;
-    end.outcome = how;
-    w.highest_run[task] = end.key.run;
-    w.outcomes.push_back(end);
+        it->second.first.run, outcome);
+    listed.seq = w.next_outcome++;
+    listed.key = it->second.first;
+    listed.outcome = outcome;
+    w.highest_run[task] = listed.key.run;
+    w.outcomes.push_back(listed);
     w.runs.erase(it);
 }
 
@@ -886,7 +889,7 @@
         return false;
     }
     if (w.highest_run.count(task) != 0 && key.run <= w.highest_run[task]) {
-        return false; /* a later run has ended or was stopped */
+        return false; /* this run or a later one has ended or was stopped */
     }
     for (auto &r : w.runs) {
         used_millicores += r.second.second.millicores;
@@ -1040,22 +1043,22 @@
 }
 
 void
-World::answered(Call *c, uint64_t entry_id, co_outcome how)
+World::answered(Call *c, uint64_t entry_id, co_outcome outcome)
 {
-    trace("entry %zu: job %lu answered %d", c->entry, c->id, how);
+    trace("entry %zu: job %lu answered %d", c->entry, c->id, outcome);
     if (!c->awaiting_answer || c->entry_id != entry_id) {
         return;
     }
     c->awaiting_answer = false;
-    if (how == CO_GAVE_UP && now + RESEND_MS < c->deadline) {
+    if (outcome == CO_GAVE_UP && now + RESEND_MS < c->deadline) {
         after(RESEND_MS, [this, c] { send_call(c); });
         return;
     }
     c->answers++;
     c->done = true;
-    c->completed = how == CO_COMPLETED;
-    c->refused = how == CO_NOT_RUN;
-    if (how == CO_NOT_RUN && c->started && c->sends == 1) {
+    c->completed = outcome == CO_COMPLETED;
+    c->refused = outcome == CO_NOT_RUN;
+    if (outcome == CO_NOT_RUN && c->started && c->sends == 1) {
         violations.push_back("job " + std::to_string(c->id) +
                              " is reported as not run, but was started");
     }
--- a/test/world.hh
+++ b/test/world.hh
@@ -177,14 +177,15 @@
     void stop_entry(size_t i, uint64_t for_ms, bool power_loss);
     FakeWaiter *new_waiter(Call *c, rl_accepted *forwarded);
     void submit_at(FakeEntry *e, Call *c, FakeWaiter *waiter);
-    void answered(Call *c, uint64_t entry_id, co_outcome how);
+    void answered(Call *c, uint64_t entry_id, co_outcome outcome);
     void worker_tick(FakeWorker &w);
+    /* True if a new run was started. */
     bool worker_start(size_t i, const rn_key &key, uint32_t millicores,
         uint32_t ms, rn_terms terms, rn_start_result *result);
     void worker_stop(size_t i, const rn_key &key, rn_terms terms);
     bool fenced(FakeWorker &w, uint64_t fence);
     void renew(FakeWorker &w, uint64_t until);
-    void end_run(FakeWorker &w, const std::string &task, dw_end how);
+    void end_run(FakeWorker &w, const std::string &task, dw_end outcome);
     uint64_t worker_clock(const FakeWorker &w) const;
     void on_agent(FakeAgent *a, std::function<void()> fn);
     void on_entry(FakeEntry *e, std::function<void()> fn);
