--- a/agentd.c
+++ b/agentd.c
@@ -42,7 +42,7 @@
     struct agentd *ad;
     struct rn_key key;
     uint64_t sent_ms;
-    bool quick; /* an immediate poll; see struct rn_poll */
+    bool immediate; /* an immediate poll; see struct rn_poll */
 };
 
 static struct run_call *
@@ -162,7 +162,7 @@
         log_event(LOG_LEVEL_WARN, "look_unreadable", "error=\"%s\"", e.msg);
     }
     poll.result.sent_ms = c->sent_ms;
-    poll.result.immediate = c->quick;
+    poll.result.immediate = c->immediate;
     poll.result.unreachable = d->status == HTTPC_NOT_SENT;
     rn_poll_answered(&c->ad->agent.runner, proc_now(), &poll.result);
     wire_poll_free(&poll);
@@ -183,7 +183,7 @@
         request->immediate ? RN_ANSWER_TIMEOUT_MS
                            : request->wait_ms + RN_POLL_MARGIN_MS,
         on_polled, NULL);
-    c->quick = request->immediate;
+    c->immediate = request->immediate;
     buf_free(&b);
 }
 
--- a/coord.c
+++ b/coord.c
@@ -405,7 +405,7 @@
     j = admit(c, now, s, &est, handle);
     qp_record_job(now, j, &est);
     j->model = model;
-    j->seen = input;
+    j->input = input;
     c->has_new_jobs = true;
 }
 
@@ -477,7 +477,7 @@
     j->done_count++;
     if (j->done_count == j->task_count) {
         if (j->model != NULL && !j->ran_slow) {
-            es_learn(&c->run_times, j->model, &j->seen, j->longest_run_ms);
+            es_learn(&c->run_times, j->model, &j->input, j->longest_run_ms);
         }
         end_job(c, now, j, CO_COMPLETED, "done");
     }
--- a/coord.h
+++ b/coord.h
@@ -123,7 +123,7 @@
     uint64_t deadline_ms;     /* when its caller stops waiting */
     uint64_t longest_task_ms; /* estimated run time of its longest task */
     struct es_model *model;   /* run times of its route; NULL: none */
-    struct es_input seen;     /* what the estimate was made from */
+    struct es_input input;    /* what the estimate was made from */
     uint32_t slack_ms;        /* how long it could wait on arrival */
     uint32_t longest_run_ms;  /* longest run so far, scaled to usual speed */
     bool ran_slow;            /* a run was on a slow worker: learn nothing */
--- a/entrycall.c
+++ b/entrycall.c
@@ -567,7 +567,7 @@
 }
 
 void
-ec_caller_gone(void *ctx, struct web_req *r)
+ec_caller_left(void *ctx, struct web_req *r)
 {
     struct entry *e = ctx;
     struct caller *c = web_ctx(r);
--- a/entryd-int.h
+++ b/entryd-int.h
@@ -38,7 +38,7 @@
     struct relay relay;
     uint64_t forwarded_out; /* requests forwarded to other entries */
     uint64_t forwarded_in;  /* requests received from other entries */
-    struct opstate news;
+    struct opstate opstate;
     struct hist answer_ms; /* from the arrival of a request to its answer */
     uint64_t last_queried; /* entry whose operator state was requested last */
     uint64_t load_logged_ms;
@@ -63,7 +63,7 @@
 /* Callbacks of the callers' server: a request was received completely; the
  * caller of an unanswered request closed its connection. */
 void ec_request(void *ctx, struct web_req *r);
-void ec_caller_gone(void *ctx, struct web_req *r);
+void ec_caller_left(void *ctx, struct web_req *r);
 /* Read pending requests from callers and send pending answers. */
 void ec_flush(struct entry *e);
 /* Start as many queued requests as this pass of the loop has time for. */
--- a/entryd.c
+++ b/entryd.c
@@ -98,7 +98,7 @@
     ec_open(e);
     co_init(&e->coord, &ec_co_ops, e, s->seed, s->conf->node.me.domain,
         s->conf->node.me.addr, s->conf->node.me.port);
-    if (open_web(e, &e->callers, p->callers_listen, ec_request, ec_caller_gone,
+    if (open_web(e, &e->callers, p->callers_listen, ec_request, ec_caller_left,
             err) != 0 ||
         open_web(e, &e->ready, p->readiness_listen, on_ready_check,
             on_ready_check_disconnected, err) != 0) {
@@ -137,7 +137,7 @@
         web_close(e->ready);
     }
     rt_free(&e->routes);
-    ost_free(&e->news);
+    ost_free(&e->opstate);
     free(e);
 }
 
@@ -209,7 +209,7 @@
         FL_SELECTED_MAX + co_job_count(&e->coord));
     en_save_estimates(e, now);
     log_load(e, now);
-    if (ost_request_due(&e->news, now)) {
+    if (ost_request_due(&e->opstate, now)) {
         en_query_peers(e);
     }
     if (s->leaving && e->accepting &&
--- a/entrystore.c
+++ b/entrystore.c
@@ -48,8 +48,8 @@
 static void
 apply_withdrawn(struct entry *e)
 {
-    fl_set_withdrawn(&e->coord.fleet, (const char *const *)e->news.withdrawn,
-        e->news.withdrawn_count);
+    fl_set_withdrawn(&e->coord.fleet,
+        (const char *const *)e->opstate.withdrawn, e->opstate.withdrawn_count);
 }
 
 static void
@@ -58,12 +58,12 @@
     const char *domain = it->key + sizeof(EVACUATE_PREFIX) - 1;
 
     if (strcmp(it->key, CONFIG_KEY) == 0 && !it->deleted) {
-        ost_set_config(&e->news, it->value, it->rev);
+        ost_set_config(&e->opstate, it->value, it->rev);
         apply_config(e, it->value);
     }
     else if (strncmp(it->key, EVACUATE_PREFIX, sizeof(EVACUATE_PREFIX) - 1) ==
              0) {
-        ost_set_domain(&e->news, domain, !it->deleted, it->rev);
+        ost_set_domain(&e->opstate, domain, !it->deleted, it->rev);
         log_event(LOG_LEVEL_INFO, it->deleted ? "domain_back" : "domain_out",
             "domain=%s rev=%" PRIu64, domain, it->rev);
     }
@@ -75,11 +75,11 @@
 {
     struct entry *e = ctx;
 
-    ost_clear_domains(&e->news);
+    ost_clear_domains(&e->opstate);
     for (size_t i = 0; i < n; i++) {
         operators_item(e, &items[i]);
     }
-    ost_set_known_rev(&e->news, rev);
+    ost_set_known_rev(&e->opstate, rev);
     apply_withdrawn(e);
 }
 
@@ -89,7 +89,7 @@
     struct entry *e = ctx;
 
     operators_item(e, it);
-    ost_set_known_rev(&e->news, it->rev);
+    ost_set_known_rev(&e->opstate, it->rev);
     apply_withdrawn(e);
 }
 
@@ -106,7 +106,7 @@
 {
     struct entry *e = ctx;
 
-    ost_set_store_state(&e->news, proc_now(), available);
+    ost_set_store_state(&e->opstate, proc_now(), available);
     log_store(available, message);
 }
 
@@ -121,7 +121,7 @@
     uint32_t queries = 0;
     dw_msg m;
 
-    ost_make_request(&e->news, &m);
+    ost_make_request(&e->opstate, &m);
     for (p = e->s->peers; p != NULL && queries < QUERIES_MAX; p = p->hh.next) {
         if (!p->is_agent && p->registered && p->id != e->s->id &&
             p->id != e->last_queried) {
@@ -139,16 +139,16 @@
 
     if (msg->question) {
         ost_set_known_rev(
-            &e->news, e->news.store_up ? follow_rev(e->operators) : 0);
-        if (ost_make_reply(&e->news, msg, &answer)) {
+            &e->opstate, e->opstate.store_up ? follow_rev(e->operators) : 0);
+        if (ost_make_reply(&e->opstate, msg, &answer)) {
             link_send(e->s->link, from, &answer);
             xdr_free((xdrproc_t)xdr_dw_msg, &answer);
         }
     }
-    else if (ost_apply_reply(&e->news, msg)) {
+    else if (ost_apply_reply(&e->opstate, msg)) {
         log_event(LOG_LEVEL_INFO, "news_from_entry",
             "entry=%016" PRIx64 " as_of=%" PRIu64, from, (uint64_t)msg->as_of);
-        apply_config(e, buf_str(&e->news.config));
+        apply_config(e, buf_str(&e->opstate.config));
         apply_withdrawn(e);
     }
 }
@@ -319,7 +319,7 @@
 void
 en_open(struct entry *e)
 {
-    e->news.store_up = true;
+    e->opstate.store_up = true;
     e->operators = follow_new(
         e->s->loop, e->s->kv, "op/", WATCH_OPERATORS_MS, &operators_events, e);
     e->members = follow_new(e->s->loop, e->s->kv, SV_KEY_PREFIX,
--- a/test/property-test.cc
+++ b/test/property-test.cc
@@ -21,7 +21,7 @@
     LEAVE,
     CUT,
     CUT_OFF,
-    STORE_UNREACHABLE,
+    STORE_DOWN,
     STORE_LOSES,
     DOMAIN_OUT,
     BACKEND_LEAVES,
@@ -101,7 +101,7 @@
             f.procs[target]->store_unreachable = false;
         });
         break;
-    case STORE_UNREACHABLE:
+    case STORE_DOWN:
         f.store.down = true;
         f.at(fault.duration, [&f] { f.store.down = false; });
         break;
--- a/test/quota-test.cc
+++ b/test/quota-test.cc
@@ -172,7 +172,7 @@
 /* Guards against a limiter whose check races with its update: fifty attempts
  * at the same instant, spread over five entries.  A shared counter lets them
  * all pass, because each reads it before any writes it. */
-TEST(Lend, FiftyAtOnceAgainstALimitOfFive)
+TEST(Quota, FiftyAtOnceAgainstALimitOfFive)
 {
     Bench b(1, 5, limits(1, 5, 100));
     size_t passed = 0;
@@ -197,7 +197,7 @@
 }
 
 /* All or nothing: a job over one limit is not charged to the others. */
-TEST(Lend, ARefusedAttemptCostsNothing)
+TEST(Quota, ARefusedAttemptCostsNothing)
 {
     Bench b(2, 1, limits(1, 100, 10));
     quota_charge charge = {};
@@ -215,7 +215,7 @@
 }
 
 /* A job answered "not run" returns its starts. */
-TEST(Lend, RefundsAreSpentAgain)
+TEST(Quota, RefundsAreSpentAgain)
 {
     Bench b(3, 1, limits(1, 10, 1000));
     size_t passed = 0;
@@ -291,7 +291,7 @@
     return started > 0 ? "" : "nothing was ever started";
 }
 
-TEST(Lend, NeverAboveTheContract)
+TEST(Quota, NeverAboveTheContract)
 {
     rc::detail::TestParams params = rc::detail::configuration().testParams;
 
--- a/test/world.cc
+++ b/test/world.cc
@@ -120,8 +120,8 @@
 /* A long poll; answered is also set when the agent has given it up. */
 struct PollCall {
     bool answered = false;
-    uint64_t asked;
-    bool quick;
+    uint64_t sent_ms;
+    bool immediate;
 };
 
 void
@@ -144,8 +144,8 @@
     to_agent(a, id, CALL_MS, [=] {
         rn_poll answer = {};
 
-        answer.sent_ms = call->asked;
-        answer.immediate = call->quick;
+        answer.sent_ms = call->sent_ms;
+        answer.immediate = call->immediate;
         answer.ok = true;
         answer.worker_clock_ms = clock;
         answer.incarnation = incarnation;
@@ -188,8 +188,8 @@
     auto call = std::make_shared<PollCall>();
     bool lost = w->chance() < f->late_order_share + f->lost_answer_share;
 
-    call->asked = w->now;
-    call->quick = immediate;
+    call->sent_ms = w->now;
+    call->immediate = immediate;
     w->after(CALL_MS, [=] {
         if (!f->up || lost || w->fenced(*f, terms.fence)) {
             return;
@@ -211,7 +211,7 @@
         w->on_agent(a, [=] {
             rn_poll answer = {};
 
-            answer.sent_ms = call->asked;
+            answer.sent_ms = call->sent_ms;
             answer.immediate = immediate;
             answer.unreachable = !f->up;
             rn_poll_answered(&a->agent_state.runner, w->now, &answer);
--- a/test/world.hh
+++ b/test/world.hh
@@ -158,12 +158,12 @@
     /* Used by the fakes. */
     struct Event {
         uint64_t at;
-        uint64_t order;
+        uint64_t sequence;
         std::function<void()> fn;
         bool
         operator<(const Event &o) const
         {
-            return at != o.at ? at > o.at : order > o.order;
+            return at != o.at ? at > o.at : sequence > o.sequence;
         }
     };
     void start_agent(size_t i);
